--- a/src/mulberrydock/water_level.py
+++ b/src/mulberrydock/fill_level.py
@@ -10,7 +10,7 @@
 """
 
 
-def water_level(waits, unseen):
+def fill_level(waits, unseen):
     """Return the seconds of wait up to which the freest engines will be filled.
 
     :param waits: seconds of work that each engine is known to have.
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -9,10 +9,10 @@
 
 import attrs
 
+from .fill_level import fill_level
 from .peer_loads import Load
 from .reading_speed import IN_PLACE_SHARE
 from .rendezvous import rank
-from .water_level import water_level
 
 #: Seconds that a hand-over costs beside the prefill and the moved KV cache: two
 #: more hops and the transfer's set-up.
@@ -220,7 +220,7 @@
             option = Option(cost, wait, instance, work, reading, cached, ahead, urgency)
             rows.append((queue, option))
         unseen = busy * pool.age * len(instances)
-        level = water_level([queue for queue, _ in rows], unseen)
+        level = fill_level([queue for queue, _ in rows], unseen)
         return [
             attrs.evolve(option, cost=option.cost + max(queue, level))
             for queue, option in rows
@@ -253,10 +253,10 @@
         return running * RUNNING_SECONDS + full * FULL_SECONDS
 
     def _running_level(self, pool):
-        """Return the :func:`water_level` of what runs on the decode engines."""
+        """Return the :func:`fill_level` of what runs on the decode engines."""
         unseen = pool.streams * pool.age * RUNNING_SECONDS
         seconds = [self._running_seconds(i, pool) for i in pool.decoders]
-        return water_level(seconds, unseen)
+        return fill_level(seconds, unseen)
 
     def _decode_seconds(self, instance, pool, moved=0, source=None, level=0.0):
         """Return the seconds from the hand-over to the first token.
--- a/tests/test_large_pool.py
+++ b/tests/test_large_pool.py
@@ -12,9 +12,9 @@
 import pytest
 from engine_pool import EnginePool, in_time, served
 
+from mulberrydock.fill_level import fill_level
 from mulberrydock.reading_speed import ReadingCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
-from mulberrydock.water_level import water_level
 
 SECONDS = 8.0
 #: Places of one engine. Beyond them requests are preempted, and read again.
@@ -127,4 +127,4 @@
 def test_what_is_on_its_way_fills_the_freest_engines_first(waits, unseen, level):
     """One engine is free, one has a little to do, one much. What others send
     before it is heard of evens the first two out, and only then reaches the third."""
-    assert water_level(waits, unseen) == pytest.approx(level)
+    assert fill_level(waits, unseen) == pytest.approx(level)
