--- a/src/mulberrydock/learned.py
+++ b/src/mulberrydock/learned.py
@@ -3,8 +3,8 @@
 import attrs
 from loguru import logger
 
-from .cache_book import CacheBook
 from .demand import Demand, DemandMeter
+from .prefix_cache import CacheBook
 from .reading_speed import ReadingCost, ReadingSpeed
 
 #: Samples that a VM must have for its fit to be told to its peers.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -14,11 +14,11 @@
 import attrs
 
 from mulberrydock import refusal
-from mulberrydock.cache_book import CacheBook
 from mulberrydock.demand import Demand, DemandMeter
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import LoadBook, PeerReport
 from mulberrydock.placement import Placement, Pool, lot
+from mulberrydock.prefix_cache import CacheBook
 from mulberrydock.reading_speed import IN_PLACE_SHARE, ReadingCost
 
 #: Seconds after which a VM's counts and reads reach its peers in a small fleet.
--- a/tests/test_cache_book.py
+++ b/tests/test_cache_book.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from mulberrydock.cache_book import KEPT_SHARE, CacheBook
 from mulberrydock.learned import Learned
 from mulberrydock.membership import Membership
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadBook
 from mulberrydock.peers import PeerLink
+from mulberrydock.prefix_cache import KEPT_SHARE, CacheBook
 from mulberrydock.request import Prompt, PromptPart
 from mulberrydock.serve import EntryVm
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,10 +5,10 @@
 import attrs
 import pytest
 
-from mulberrydock.cache_book import CacheBook
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import Load
 from mulberrydock.placement import Placement, Pool, lot, owner, prefill_urgency
+from mulberrydock.prefix_cache import CacheBook
 from mulberrydock.reading_speed import ReadingCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
