--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -7,9 +7,9 @@
 from .learned import Learned
 from .peer_loads import LoadBook
 from .placement import FAR_MOVE_FACTOR, Placement, Plan, Pool, is_short, lot
+from .prefill_cost import IN_PLACE_SHARE
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
-from .reading_speed import IN_PLACE_SHARE
 from .route_table import RouteTable
 from .stages import MOST_DECODING, StageNeeds, bearable_places
 from .suspicion import Suspicion
--- a/src/mulberrydock/learned.py
+++ b/src/mulberrydock/learned.py
@@ -4,8 +4,8 @@
 from loguru import logger
 
 from .demand import Demand, DemandMeter
+from .prefill_cost import ReadingCost, ReadingSpeed
 from .prefix_cache import CacheBook
-from .reading_speed import ReadingCost, ReadingSpeed
 
 #: Samples that a VM must have for its fit to be told to its peers.
 TOLD_SAMPLES = 4
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -6,8 +6,8 @@
 from .demand import Demand
 from .learned import PoolNews, ReadSample
 from .peer_loads import Load, PeerReport
+from .prefill_cost import ReadingCost
 from .quarantine import Crash
-from .reading_speed import ReadingCost
 
 
 @attrs.define(frozen=True)
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -11,7 +11,7 @@
 
 from .fill_level import fill_level
 from .peer_loads import Load
-from .reading_speed import IN_PLACE_SHARE
+from .prefill_cost import IN_PLACE_SHARE
 from .rendezvous import rank
 
 #: Seconds that a hand-over costs beside the prefill and the moved KV cache: two
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -13,7 +13,7 @@
 
 from .instances import Stage
 from .peer_loads import Load
-from .reading_speed import IN_PLACE_SHARE
+from .prefill_cost import IN_PLACE_SHARE
 
 #: Share of a pool's engines that decode while nothing is known of its mix: a
 #: change costs nothing before the first request. Prompts take engines, answers
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -18,8 +18,8 @@
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import LoadBook, PeerReport
 from mulberrydock.placement import Placement, Pool, lot
+from mulberrydock.prefill_cost import IN_PLACE_SHARE, ReadingCost
 from mulberrydock.prefix_cache import CacheBook
-from mulberrydock.reading_speed import IN_PLACE_SHARE, ReadingCost
 
 #: Seconds after which a VM's counts and reads reach its peers in a small fleet.
 NEWS_SECONDS = 0.2
--- a/tests/test_large_pool.py
+++ b/tests/test_large_pool.py
@@ -13,7 +13,7 @@
 from engine_pool import EnginePool, in_time, served
 
 from mulberrydock.fill_level import fill_level
-from mulberrydock.reading_speed import ReadingCost
+from mulberrydock.prefill_cost import ReadingCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 SECONDS = 8.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,8 +8,8 @@
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import Load
 from mulberrydock.placement import Placement, Pool, lot, owner, prefill_urgency
+from mulberrydock.prefill_cost import ReadingCost
 from mulberrydock.prefix_cache import CacheBook
-from mulberrydock.reading_speed import ReadingCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 P, D = Stage.PREFILL, Stage.DECODE
--- a/tests/test_reading_speed.py
+++ b/tests/test_reading_speed.py
@@ -5,7 +5,7 @@
 import pytest
 
 from mulberrydock.learned import Learned
-from mulberrydock.reading_speed import (
+from mulberrydock.prefill_cost import (
     SAMPLES_KEPT,
     TOKEN_SECONDS_BOUNDS,
     ReadingCost,
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -11,7 +11,7 @@
 import pytest
 from engine_pool import EnginePool, served
 
-from mulberrydock.reading_speed import ReadingCost
+from mulberrydock.prefill_cost import ReadingCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 SECONDS = 30.0
