--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -3,8 +3,8 @@
 import attrs
 
 from .admission import RetryBudget
+from .estimates import Learned
 from .instances import InstanceRegistry, Stage
-from .learned import Learned
 from .peer_loads import LoadBook
 from .placement import FAR_MOVE_FACTOR, Placement, Plan, Pool, is_short, lot
 from .prefill_cost import IN_PLACE_SHARE
@@ -41,7 +41,7 @@
         self.limits = limits or RateLimits()
         self.quarantine = Quarantine()
         self.placement = Placement(data_centre)
-        self.learned = Learned(self._capacity)
+        self.estimates = Learned(self._capacity)
         self.timing = timing
         self.peers = peers
         self.budgets = {}
@@ -51,7 +51,7 @@
         self.suspicion.forget(instance_id)
         self.limits.forget(instance_id)
         self.loads.forget(instance_id)
-        self.learned.cache.forget(instance_id)
+        self.estimates.cache.forget(instance_id)
 
     def misdirected(self, instance, answering, now):
         """An instance refused a call as not meant for it.
@@ -134,7 +134,7 @@
         fresh = self._fresh(service, tried, now)
         prefills, decoders = self._split(fresh, now)
         spec = self._spec(service)
-        knowledge = self.learned.pool(service)
+        knowledge = self.estimates.pool(service)
         demand = knowledge.demand.total(now)
         cost = knowledge.speed.cost
         return Pool(
@@ -142,7 +142,7 @@
             decoders,
             self.loads.total(now),
             cost,
-            self.learned.cache,
+            self.estimates.cache,
             spec.move_seconds if spec else 0.0,
             cost.seconds(demand.apart) / max(1, len(prefills)),
             self._decoders_busy(knowledge, demand, spec, len(decoders)),
@@ -185,17 +185,17 @@
         """A client asks for a prompt's completion, whether it is served or not."""
         engines = self.instances.serving(service)
         cached = max(
-            (self.learned.cache.cached(e.id, prompt) for e in engines), default=0
+            (self.estimates.cache.cached(e.id, prompt) for e in engines), default=0
         )
-        cost = self.learned.pool(service).speed.cost
+        cost = self.estimates.pool(service).speed.cost
         work = cost.work(prompt.tokens - cached, cached)
         short = is_short(cost.seconds(work), route.latency_objective)
-        self.learned.note_demand(service, prompt, work, short, now)
+        self.estimates.note_demand(service, prompt, work, short, now)
 
     def stage_needs(self, spec, now):
         """Return the :class:`StageNeeds` of a pool, from the demand of all VMs,
         None while nobody has asked anything of it."""
-        knowledge = self.learned.pool(spec.name)
+        knowledge = self.estimates.pool(spec.name)
         demand = knowledge.demand.total(now)
         if demand.streams < LEAST_STREAMS:
             return None
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -4,7 +4,7 @@
 
 from . import records
 from .demand import Demand
-from .learned import PoolNews, ReadSample
+from .estimates import PoolNews, ReadSample
 from .peer_loads import Load, PeerReport
 from .prefill_cost import ReadingCost
 from .quarantine import Crash
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -56,14 +56,14 @@
         book,
         groups,
         leaving,
-        learned=None,
+        estimates=None,
         suspects=lambda now: frozenset(),
         quarantine=None,
         limits=None,
     ):
         self.name = name
         self.book = book
-        self.learned = learned
+        self.estimates = estimates
         self.groups = groups
         self.leaving = leaving
         self.suspects = suspects
@@ -126,12 +126,12 @@
         return now - last >= SUM_SECONDS * RELAY_SHARE * (1 + self.place)
 
     def _hear(self, source, news, now):
-        if self.learned is None:
+        if self.estimates is None:
             return
         for instance, rows in news.reads.items():
-            self.learned.hear_reads(instance, rows)
-        self.learned.hear_news(source, news.pools, now)
-        self.learned.hear_samples(news.samples, now)
+            self.estimates.hear_reads(instance, rows)
+        self.estimates.hear_news(source, news.pools, now)
+        self.estimates.hear_samples(news.samples, now)
 
     def _hear_crashes(self, crashes, now):
         if self.quarantine is None:
@@ -189,13 +189,13 @@
         )
         self.messages += 1
         limits = self._limit_news(now, self.messages)
-        if self.learned is None:
+        if self.estimates is None:
             return peer_messages.encode(PeerNews(self.name, report, limits=limits))
-        reads = self.learned.cache.take_news()
+        reads = self.estimates.cache.take_news()
         self._note_reads(reads)
         tell_pools = self.messages % MESSAGES_A_POOL_REPORT == 0
-        pools = self.learned.news(now) if tell_pools else []
-        samples = self.learned.take_samples()
+        pools = self.estimates.news(now) if tell_pools else []
+        samples = self.estimates.take_samples()
         crashes = self.quarantine.take_news(now) if self.quarantine else []
         news = PeerNews(self.name, report, "", reads, pools, samples, crashes, limits)
         return peer_messages.encode(news)
@@ -206,8 +206,8 @@
         report = self._report(now, self.book.near(now), held, SUM_SECONDS)
         reads, self.near_reads = self.near_reads, {}
         pools = []
-        if self.learned is not None:
-            pools = self.learned.news(now, self.groups.direct().keys())
+        if self.estimates is not None:
+            pools = self.estimates.news(now, self.groups.direct().keys())
         self.sums += 1
         news = PeerNews(
             self.name,
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -8,8 +8,8 @@
 
 from .connections import WholeAnswer
 from .demand import Demand
+from .estimates import ReadSample
 from .exceptions import CallRefused, ConnectionCut, ResultCode, UpstreamError
-from .learned import ReadSample
 from .request import SendOptions
 
 #: Seconds for a prefill answer beyond the estimate. A prompt that is given up
@@ -60,7 +60,7 @@
             urgency=plan.urgency,
         )
         work = self.fleet.loads.begin(self.engine.id, plan.tokens, plan.urgency)
-        knowledge = self.fleet.learned.pool(self.service)
+        knowledge = self.fleet.estimates.pool(self.service)
         knowledge.demand.note(Demand(apart=plan.tokens), started)
         try:
             handle = await self._call(left)
@@ -70,7 +70,7 @@
         finally:
             work.end()
         self.fleet.suspicion.answered(self.engine.id)
-        self.fleet.learned.was_read(self.engine.id, self.request.prompt)
+        self.fleet.estimates.was_read(self.engine.id, self.request.prompt)
         self._learn(started, time.monotonic())
         return handle
 
@@ -141,4 +141,4 @@
             return
         tokens = self.request.prompt.tokens - plan.cached
         sample = ReadSample(self.service, tokens, plan.cached, seconds)
-        self.fleet.learned.note_sample(sample, now)
+        self.fleet.estimates.note_sample(sample, now)
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -152,7 +152,7 @@
             self.fleet.loads,
             self.groups,
             self._leaving,
-            self.fleet.learned,
+            self.fleet.estimates,
             self.fleet.suspicion.suspects,
             self.fleet.quarantine,
             self.fleet.limits,
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -231,7 +231,7 @@
             tokens = plan.tokens if handle is None else 0
             urgency = min(PRIORITY_MAX, self.route.priority)
             work = self.fleet.loads.begin(plan.target.id, tokens, urgency)
-            knowledge = self.fleet.learned.pool(self.service)
+            knowledge = self.fleet.estimates.pool(self.service)
             knowledge.demand.note(Demand(in_place=tokens), time.monotonic())
             listener = StreamListener(self.wire, self.stream, work)
             patience = self._patience(
@@ -244,7 +244,7 @@
             if handle is not None and not taken:
                 self.relay.release(prefill, handle)
         if whole and listener.good:
-            self.fleet.learned.was_read(plan.target.id, self.request.prompt)
+            self.fleet.estimates.was_read(plan.target.id, self.request.prompt)
             self._note_stream(plan, time.monotonic())
             self.served = True
             self.sink.finish()
@@ -255,7 +255,7 @@
         """A stream ended whole: learn from it, and measure the estimate."""
         if not self.stream.begun:
             return
-        knowledge = self.fleet.learned.pool(self.service)
+        knowledge = self.fleet.estimates.pool(self.service)
         knowledge.note_stream(now - self.stream.begun_at)
         metrics = self.relay.metrics
         metrics.token_seconds.labels(self.service).set(knowledge.speed.cost.token)
--- a/tests/test_cache_book.py
+++ b/tests/test_cache_book.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mulberrydock.learned import Learned
+from mulberrydock.estimates import Learned
 from mulberrydock.membership import Membership
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadBook
@@ -16,12 +16,12 @@
 CAPACITY = 100_000
 
 
-def link_of(name, learned):
+def link_of(name, estimates):
     """Return the link of a VM that knows no peer."""
     membership = Membership(None, EntryVm(name, "a1", "dc1"))
     book = LoadBook()
     groups = PeerGroups(membership, book, "dc1")
-    return PeerLink(name, book, groups, bool, learned)
+    return PeerLink(name, book, groups, bool, estimates)
 
 
 def prompt(*parts):
