--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -11,7 +11,7 @@
 from .connections import ConnectionPool
 from .exceptions import ConnectionCut
 from .quarantine import Quarantine
-from .quarantine_keeper import QuarantineKeeper
+from .quarantine_sync import QuarantineKeeper
 
 
 @attrs.define
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -27,7 +27,7 @@
 from .pages import make_pages
 from .peer_groups import PeerGroups
 from .peers import PeerLink
-from .quarantine_keeper import QuarantineKeeper
+from .quarantine_sync import QuarantineKeeper
 from .rate_limits import RateLimits
 from .relay import Relay
 from .rendezvous import rank
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
     Crash,
     Quarantine,
 )
-from mulberrydock.quarantine_keeper import QuarantineKeeper
+from mulberrydock.quarantine_sync import QuarantineKeeper
 from mulberrydock.request import Request, fingerprint
 
 WORK = fingerprint("work")
