--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -32,7 +32,7 @@
 from .relay import Relay
 from .rendezvous import rank
 from .serve_settings import load_serve_settings
-from .stage_duty import StageDuty
+from .stage_controller import StageDuty
 from .watch import PROBE_SECONDS, PrefixWatch
 
 #: Seconds within which a watch that went silent must be noticed before the
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -18,7 +18,7 @@
 from mulberrydock.request import Kind, Route, RoutingConfig, Split
 from mulberrydock.route_table import RouteTable
 from mulberrydock.sse import EventSplitter
-from mulberrydock.stage_duty import StageDuty
+from mulberrydock.stage_controller import StageDuty
 from mulberrydock.suspicion import FIRST_HOLD_SECONDS, Suspicion
 
 
--- a/tests/test_stage_duty.py
+++ b/tests/test_stage_duty.py
@@ -11,7 +11,7 @@
 from mulberrydock.instances import EngineReport, InstanceRecord, Stage
 from mulberrydock.lease import Authority, LeaderLease
 from mulberrydock.request import RoutingConfig, ServiceSpec
-from mulberrydock.stage_duty import StageDuty
+from mulberrydock.stage_controller import StageDuty
 from mulberrydock.stages import FEW_PREFILLS_SECONDS, idle_prefills
 
 
