--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -109,7 +109,9 @@
     """On-call engineers look an event up in the operators' page. An event that
     the code writes and the page lacks leaves them guessing."""
     modules = "serve serving relay front sends peers membership instances"
-    modules += " stage_duty lease route_table watch prefill instance_feed estimates"
+    modules += (
+        " stage_controller lease route_table watch prefill instance_feed estimates"
+    )
     modules += " quarantine quarantine_sync crash_probe"
     page = (ROOT / "docs" / "OPERATIONS.md").read_text(encoding="utf-8")
     for name in modules.split():
