--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from .demand import Demand, DemandMeter
-from .prefill_cost import ReadingCost, ReadingSpeed
+from .prefill_cost import PrefillCost, ReadingSpeed
 from .prefix_cache import CacheBook
 
 #: Samples that a VM must have for its fit to be told to its peers.
@@ -41,7 +41,7 @@
 
     service: str
     demand: Demand
-    cost: ReadingCost | None
+    cost: PrefillCost | None
 
 
 @attrs.define(frozen=True)
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -6,7 +6,7 @@
 from .demand import Demand
 from .estimates import PoolNews, ReadSample
 from .peer_loads import Load, PeerReport
-from .prefill_cost import ReadingCost
+from .prefill_cost import PrefillCost
 from .quarantine import Crash
 
 
@@ -71,7 +71,7 @@
     demand = Demand(
         row.reading, row.moved, row.streams, row.apart, row.inPlace, row.short
     )
-    cost = ReadingCost(row.overhead, row.token, row.pair) if row.token > 0 else None
+    cost = PrefillCost(row.overhead, row.token, row.pair) if row.token > 0 else None
     return PoolNews(row.service, demand, cost)
 
 
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -139,7 +139,7 @@
     :param reading: seconds that its engine takes for it.
     :param drawn: the request's :func:`lot`.
     :param load: the :class:`Load` of that engine.
-    :param cost: the pool's :class:`ReadingCost`.
+    :param cost: the pool's :class:`PrefillCost`.
     """
     priority = min(PRIORITY_MAX, route.priority)
     size = sum(reading > step * route.latency_objective for step in READING_STEPS)
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -57,7 +57,7 @@
 
 
 @attrs.define(frozen=True)
-class ReadingCost:
+class PrefillCost:
     """Seconds of reading: ``overhead`` once, ``token`` for each token and
     ``pair`` for each pair of a token and one before it."""
 
@@ -93,7 +93,7 @@
 
 
 class ReadingSpeed:
-    """Samples of one pool and the :class:`ReadingCost` fitted to them.
+    """Samples of one pool and the :class:`PrefillCost` fitted to them.
 
     ``peers`` holds the costs that peers fitted, by their names.
     """
@@ -101,7 +101,7 @@
     def __init__(self):
         self.samples = collections.deque(maxlen=SAMPLES_KEPT)
         self.peers = {}
-        self.cost = ReadingCost()
+        self.cost = PrefillCost()
         self.fitted_at = 0.0
 
     def note(self, tokens, cached, seconds, now):
@@ -135,9 +135,9 @@
         wrong must not stand against what is measured here.
         """
         if not self.peers or len(self.samples) >= FEW_SAMPLES:
-            return ReadingCost(), PRIOR_SPREADS
+            return PrefillCost(), PRIOR_SPREADS
         rows = [sorted(row) for row in zip(*map(attrs.astuple, self.peers.values()))]
-        return ReadingCost(*(row[len(row) // 2] for row in rows)), PEER_SPREADS
+        return PrefillCost(*(row[len(row) // 2] for row in rows)), PEER_SPREADS
 
     def _fit(self):
         prior, spreads = self._prior()
@@ -169,7 +169,7 @@
         low, high = TOKEN_SECONDS_BOUNDS
         token = min(high, max(low, token))
         low, high = (token * bound for bound in ATTENTION_BOUNDS)
-        return ReadingCost(max(0.0, overhead), token, min(high, max(low, pair)))
+        return PrefillCost(max(0.0, overhead), token, min(high, max(low, pair)))
 
 
 def _solve(matrix, vector):
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -18,7 +18,7 @@
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import LoadBook, PeerReport
 from mulberrydock.placement import Placement, Pool, lot
-from mulberrydock.prefill_cost import IN_PLACE_SHARE, ReadingCost
+from mulberrydock.prefill_cost import IN_PLACE_SHARE, PrefillCost
 from mulberrydock.prefix_cache import CacheBook
 
 #: Seconds after which a VM's counts and reads reach its peers in a small fleet.
@@ -125,7 +125,7 @@
     ):
         self.news_seconds = news_seconds
         self.demand = DemandMeter()
-        self.cost = cost or ReadingCost(0.01, 2e-5, 4e-10)
+        self.cost = cost or PrefillCost(0.01, 2e-5, 4e-10)
         self.memory = memory
         self.events = []
         self.order = itertools.count()
--- a/tests/test_large_pool.py
+++ b/tests/test_large_pool.py
@@ -13,7 +13,7 @@
 from engine_pool import EnginePool, in_time, served
 
 from mulberrydock.fill_level import fill_level
-from mulberrydock.prefill_cost import ReadingCost
+from mulberrydock.prefill_cost import PrefillCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 SECONDS = 8.0
@@ -24,7 +24,7 @@
 #: Seconds between two messages of each VM: what two hops take in a large fleet.
 NEWS_SECONDS = 0.5
 #: As fast as the office's engines: 92,100 tokens a second.
-COST = ReadingCost(0.01, 1 / 92_100, 3.2e-5 / 92_100)
+COST = PrefillCost(0.01, 1 / 92_100, 3.2e-5 / 92_100)
 
 
 def route(name, objective, priority):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,13 +8,13 @@
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import Load
 from mulberrydock.placement import Placement, Pool, lot, owner, prefill_urgency
-from mulberrydock.prefill_cost import ReadingCost
+from mulberrydock.prefill_cost import PrefillCost
 from mulberrydock.prefix_cache import CacheBook
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 P, D = Stage.PREFILL, Stage.DECODE
 #: Engines that read 92,100 tokens a second, as the first users' do.
-COST = ReadingCost(0.01, 1 / 92_100, 3.2e-5 / 92_100)
+COST = PrefillCost(0.01, 1 / 92_100, 3.2e-5 / 92_100)
 MEMORY = 540_000
 
 
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -8,7 +8,7 @@
 from mulberrydock.prefill_cost import (
     SAMPLES_KEPT,
     TOKEN_SECONDS_BOUNDS,
-    ReadingCost,
+    PrefillCost,
     ReadingSpeed,
 )
 
@@ -32,7 +32,7 @@
     half of which waited behind prompts that other VMs had sent a moment before,
     the time of the next is known within two fifths, whatever the engines' speed."""
     rng = random.Random(7)
-    truth = ReadingCost(0.015, token_seconds, token_seconds * 2e-5)
+    truth = PrefillCost(0.015, token_seconds, token_seconds * 2e-5)
     speed = ReadingSpeed()
     for number, (tokens, cached) in enumerate(prompts(rng, 15)):
         took = seconds(truth, tokens, cached)
@@ -50,9 +50,9 @@
     rng = random.Random(3)
     speed = ReadingSpeed()
     for number, (tokens, cached) in enumerate(prompts(rng, 40)):
-        cost = ReadingCost(0.01, 1e-5, 2e-10)
+        cost = PrefillCost(0.01, 1e-5, 2e-10)
         speed.note(tokens, cached, seconds(cost, tokens, cached), number * 0.1)
-    slow = ReadingCost(0.01, 3e-5, 6e-10)
+    slow = PrefillCost(0.01, 3e-5, 6e-10)
     for number, (tokens, cached) in enumerate(prompts(rng, SAMPLES_KEPT // 2)):
         speed.note(tokens, cached, seconds(slow, tokens, cached), 60 + number * 0.1)
     assert speed.cost.token == pytest.approx(slow.token, rel=0.2)
@@ -77,7 +77,7 @@
     estimates as its peers do, and one peer that is far off doesn't matter."""
     speed = ReadingSpeed()
     for peer, token in (("a", 2e-5), ("b", 2.1e-5), ("c", 9e-4)):
-        speed.hear(peer, ReadingCost(0.01, token, token * 2e-5))
+        speed.hear(peer, PrefillCost(0.01, token, token * 2e-5))
     assert speed.cost.token == pytest.approx(2.1e-5)
 
 
@@ -89,7 +89,7 @@
     first own sample is fitted beside it; an error there would end the request
     whose prompt was just read without an answer."""
     speed = ReadingSpeed()
-    speed.hear("a", ReadingCost(*told))
+    speed.hear("a", PrefillCost(*told))
     for number in range(40):
         speed.note(3000, 500, 0.07, number * 0.1)
     assert seconds(speed.cost, 3000, 500) == pytest.approx(0.07, rel=0.5)
@@ -101,5 +101,5 @@
     estimates = Learned(lambda instance_id: 1000)
     for number in range(20):
         estimates.pool("large").speed.note(5000, 0, 0.5, number * 0.1)
-    assert estimates.pool("small").speed.cost == ReadingCost()
-    assert estimates.pool("large").speed.cost.token > ReadingCost().token
+    assert estimates.pool("small").speed.cost == PrefillCost()
+    assert estimates.pool("large").speed.cost.token > PrefillCost().token
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -11,7 +11,7 @@
 import pytest
 from engine_pool import EnginePool, served
 
-from mulberrydock.prefill_cost import ReadingCost
+from mulberrydock.prefill_cost import PrefillCost
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 SECONDS = 30.0
@@ -20,7 +20,7 @@
 PATIENCE = 2.4
 #: An engine's memory in tokens, and its reading speed.
 MEMORY = 540_000
-COST = ReadingCost(0.07, 1 / 85_000, 3.2e-5 / 92_100)
+COST = PrefillCost(0.07, 1 / 85_000, 3.2e-5 / 92_100)
 
 
 def route(name, objective, priority):
