--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from .demand import Demand, DemandMeter
-from .prefill_cost import PrefillCost, ReadingSpeed
+from .prefill_cost import PrefillCost, PrefillCostModel
 from .prefix_cache import CacheBook
 
 #: Samples that a VM must have for its fit to be told to its peers.
@@ -23,7 +23,7 @@
     end, None before the first; ``logged_token_seconds`` the speed last logged.
     """
 
-    speed: ReadingSpeed = attrs.field(factory=ReadingSpeed)
+    speed: PrefillCostModel = attrs.field(factory=PrefillCostModel)
     demand: DemandMeter = attrs.field(factory=DemandMeter)
     stream_seconds: float | None = None
     logged_token_seconds: float = 0.0
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -92,7 +92,7 @@
     return sum(a * b for a, b in zip(attrs.astuple(cost), features))
 
 
-class ReadingSpeed:
+class PrefillCostModel:
     """Samples of one pool and the :class:`PrefillCost` fitted to them.
 
     ``peers`` holds the costs that peers fitted, by their names.
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -9,7 +9,7 @@
     SAMPLES_KEPT,
     TOKEN_SECONDS_BOUNDS,
     PrefillCost,
-    ReadingSpeed,
+    PrefillCostModel,
 )
 
 
@@ -33,7 +33,7 @@
     the time of the next is known within two fifths, whatever the engines' speed."""
     rng = random.Random(7)
     truth = PrefillCost(0.015, token_seconds, token_seconds * 2e-5)
-    speed = ReadingSpeed()
+    speed = PrefillCostModel()
     for number, (tokens, cached) in enumerate(prompts(rng, 15)):
         took = seconds(truth, tokens, cached)
         if rng.random() < unseen_waits:
@@ -48,7 +48,7 @@
     """All engines are replaced by slower ones. The old samples don't hold the
     estimate back for longer than they are kept."""
     rng = random.Random(3)
-    speed = ReadingSpeed()
+    speed = PrefillCostModel()
     for number, (tokens, cached) in enumerate(prompts(rng, 40)):
         cost = PrefillCost(0.01, 1e-5, 2e-10)
         speed.note(tokens, cached, seconds(cost, tokens, cached), number * 0.1)
@@ -64,7 +64,7 @@
 def test_strange_samples_leave_a_believable_speed(tokens, took):
     """An answer comes at once, for nothing, or after minutes. The estimate stays
     within what an engine can be."""
-    speed = ReadingSpeed()
+    speed = PrefillCostModel()
     for number in range(SAMPLES_KEPT):
         speed.note(tokens, 0, took, number * 0.1)
     low, high = TOKEN_SECONDS_BOUNDS
@@ -75,7 +75,7 @@
 def test_vm_without_samples_believes_its_peers():
     """A VM restarts in the middle of a day. Until it has samples of its own, it
     estimates as its peers do, and one peer that is far off doesn't matter."""
-    speed = ReadingSpeed()
+    speed = PrefillCostModel()
     for peer, token in (("a", 2e-5), ("b", 2.1e-5), ("c", 9e-4)):
         speed.hear(peer, PrefillCost(0.01, token, token * 2e-5))
     assert speed.cost.token == pytest.approx(2.1e-5)
@@ -88,7 +88,7 @@
     """A peer's fit has no overhead, no cost of context, or is no number. The
     first own sample is fitted beside it; an error there would end the request
     whose prompt was just read without an answer."""
-    speed = ReadingSpeed()
+    speed = PrefillCostModel()
     speed.hear("a", PrefillCost(*told))
     for number in range(40):
         speed.note(3000, 500, 0.07, number * 0.1)
