--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -45,7 +45,7 @@
 
 
 @attrs.define(frozen=True)
-class ReadSample:
+class PrefillSample:
     """One prompt that an engine read without a queue before it.
 
     ``tokens`` were read after ``cached`` ones, in ``seconds``.
@@ -93,7 +93,7 @@
         self.hear_samples([sample], now)
 
     def take_samples(self):
-        """Return the :class:`ReadSample` that peers haven't been told yet."""
+        """Return the :class:`PrefillSample` that peers haven't been told yet."""
         samples, self.samples = self.samples, []
         return samples
 
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -4,7 +4,7 @@
 
 from . import records
 from .demand import Demand
-from .estimates import PoolNews, ReadSample
+from .estimates import PoolNews, PrefillSample
 from .peer_loads import Load, PeerReport
 from .prefill_cost import PrefillCost
 from .quarantine import Crash
@@ -38,7 +38,7 @@
     ``name`` is the sender's; ``data_centre`` is whose sum it is, empty for the
     sender's own. ``reads`` maps instance ids to (key, tokens) rows of parts that
     were read there since the last message, ``pools`` are :class:`PoolNews`,
-    ``samples`` are :class:`ReadSample`, ``crashes`` are
+    ``samples`` are :class:`PrefillSample`, ``crashes`` are
     :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitNews`.
     """
 
@@ -146,7 +146,7 @@
         {row.instance: list(zip(row.keys, row.tokens)) for row in message.reads},
         [_read_pool(row) for row in message.pools],
         [
-            ReadSample(row.service, row.tokens, row.cached, row.seconds)
+            PrefillSample(row.service, row.tokens, row.cached, row.seconds)
             for row in message.samples
         ],
         [Crash(row.work, row.instance) for row in message.crashes],
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -8,7 +8,7 @@
 
 from .connections import WholeAnswer
 from .demand import Demand
-from .estimates import ReadSample
+from .estimates import PrefillSample
 from .exceptions import CallRefused, ConnectionCut, ResultCode, UpstreamError
 from .request import SendOptions
 
@@ -140,5 +140,5 @@
             # What waited says nothing of the engine's speed.
             return
         tokens = self.request.prompt.tokens - plan.cached
-        sample = ReadSample(self.service, tokens, plan.cached, seconds)
+        sample = PrefillSample(self.service, tokens, plan.cached, seconds)
         self.fleet.estimates.note_sample(sample, now)
