--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -5,7 +5,7 @@
 
 from .demand import Demand, DemandMeter
 from .prefill_cost import PrefillCost, PrefillCostModel
-from .prefix_cache import CacheBook
+from .prefix_cache import PrefixCacheIndex
 
 #: Samples that a VM must have for its fit to be told to its peers.
 TOLD_SAMPLES = 4
@@ -66,7 +66,7 @@
     def __init__(self, capacity):
         self.capacity = capacity
         self.pools = {}
-        self.cache = CacheBook()
+        self.cache = PrefixCacheIndex()
         self.samples = []
 
     def pool(self, service):
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -35,7 +35,7 @@
             self.tokens -= dropped
 
 
-class CacheBook:
+class PrefixCacheIndex:
     """Parts by engine; ``news`` are this VM's own since its last message.
 
     A part counts as kept once its prompt was read. Counted from the moment it is
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -19,7 +19,7 @@
 from mulberrydock.peer_loads import LoadBook, PeerReport
 from mulberrydock.placement import Placement, Pool, lot
 from mulberrydock.prefill_cost import IN_PLACE_SHARE, PrefillCost
-from mulberrydock.prefix_cache import CacheBook
+from mulberrydock.prefix_cache import PrefixCacheIndex
 
 #: Seconds after which a VM's counts and reads reach its peers in a small fleet.
 NEWS_SECONDS = 0.2
@@ -58,7 +58,7 @@
         self.queue = []
         self.order = itertools.count()
         self.busy = False
-        self.kept = CacheBook()
+        self.kept = PrefixCacheIndex()
         self.streams = 0
         self.taken = 0
         self.beyond = 0
@@ -105,7 +105,7 @@
     def __init__(self, name):
         self.name = name
         self.loads = LoadBook()
-        self.cache = CacheBook()
+        self.cache = PrefixCacheIndex()
         self.placement = Placement("dc1")
         self.sequence = 0
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from mulberrydock.peer_loads import Load
 from mulberrydock.placement import Placement, Pool, lot, owner, prefill_urgency
 from mulberrydock.prefill_cost import PrefillCost
-from mulberrydock.prefix_cache import CacheBook
+from mulberrydock.prefix_cache import PrefixCacheIndex
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 P, D = Stage.PREFILL, Stage.DECODE
@@ -26,7 +26,7 @@
 
 def pool(prefills, decoders, loads=None, kept=(), **options):
     """Return a pool; ``kept`` are (engine, prompt) pairs that were read."""
-    cache = CacheBook()
+    cache = PrefixCacheIndex()
     for engine, prompt in kept:
         cache.was_read(engine.id, prompt, MEMORY)
     return Pool(prefills, decoders, loads or {}, COST, cache, **options)
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -9,7 +9,7 @@
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadBook
 from mulberrydock.peers import PeerLink
-from mulberrydock.prefix_cache import KEPT_SHARE, CacheBook
+from mulberrydock.prefix_cache import KEPT_SHARE, PrefixCacheIndex
 from mulberrydock.request import Prompt, PromptPart
 from mulberrydock.serve import EntryVm
 
@@ -55,7 +55,7 @@
 def test_leading_parts_that_were_read_are_cached(asked, cached):
     """One prompt about a document was read by an engine. Others with the same
     beginning need only the rest read there, and all of it elsewhere."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     book.was_read("e1", about("doc1"), CAPACITY)
     assert book.cached("e1", asked) == cached
     assert book.cached("e2", asked) == 0
@@ -64,7 +64,7 @@
 def test_parts_used_longest_ago_are_forgotten():
     """More documents are read than an engine's memory holds. The ones used
     last are believed to be there, the others not, and the book stays small."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     for number in range(200):
         book.was_read("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
     kept = [n for n in range(200) if book.cached("e1", about(f"doc{n}", "x")) > 2000]
@@ -75,7 +75,7 @@
 
 def test_a_document_in_use_outlasts_the_others():
     """One document is asked for again and again while hundreds pass once."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     for number in range(100):
         book.was_read("e1", about("hot", f"a{number}"), CAPACITY)
         book.was_read("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
@@ -85,7 +85,7 @@
 def test_prompt_larger_than_the_memory():
     """A prompt is larger than an engine's memory. The book neither grows
     without bound nor loses its count."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     book.was_read("e1", prompt(("huge", CAPACITY * 3)), CAPACITY)
     book.was_read("e1", about("doc1"), CAPACITY)
     assert book.engines["e1"].tokens == 13_000
@@ -94,14 +94,14 @@
 def test_news_of_an_engine_that_is_not_known_is_not_kept():
     """Engines come and go for days, and a peer's late message names one that is
     over. It isn't noted, or the book would grow with every engine there ever was."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     book.hear("gone@1", [(1, 10), (2, 20)], 0)
     assert book.engines == {}
 
 
 def test_engine_that_is_gone_keeps_nothing():
     """An engine is over, or has started again: its memory went with it."""
-    book = CacheBook()
+    book = PrefixCacheIndex()
     book.was_read("e1", about("doc1"), CAPACITY)
     book.forget("e1")
     assert book.cached("e1", about("doc1")) == 0
