--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -57,7 +57,7 @@
     seconds: float
 
 
-class Learned:
+class FleetEstimates:
     """Knowledge by service, and the parts of prompts kept by each engine.
 
     :param capacity: returns the tokens of an engine's memory, by its id.
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -3,7 +3,7 @@
 import attrs
 
 from .admission import RetryBudget
-from .estimates import Learned
+from .estimates import FleetEstimates
 from .instances import InstanceRegistry, Stage
 from .peer_loads import LoadBook
 from .placement import FAR_MOVE_FACTOR, Placement, Plan, Pool, is_short, lot
@@ -41,7 +41,7 @@
         self.limits = limits or RateLimits()
         self.quarantine = Quarantine()
         self.placement = Placement(data_centre)
-        self.estimates = Learned(self._capacity)
+        self.estimates = FleetEstimates(self._capacity)
         self.timing = timing
         self.peers = peers
         self.budgets = {}
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -41,7 +41,7 @@
         and to feed.
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`: whom to tell.
     :param leaving: returns True once this VM drains.
-    :param learned: the :class:`~mulberrydock.learned.Learned` to tell from and
+    :param learned: the :class:`~mulberrydock.learned.FleetEstimates` to tell from and
         to feed, None to tell only loads.
     :param suspects: returns the instances that this VM passes over at a moment.
     :param quarantine: the :class:`~mulberrydock.quarantine.Quarantine` to tell from
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mulberrydock.estimates import Learned
+from mulberrydock.estimates import FleetEstimates
 from mulberrydock.prefill_cost import (
     SAMPLES_KEPT,
     TOKEN_SECONDS_BOUNDS,
@@ -98,7 +98,7 @@
 def test_each_pool_has_a_speed_of_its_own():
     """Two models of different size are served. What one pool shows says nothing
     of the other."""
-    estimates = Learned(lambda instance_id: 1000)
+    estimates = FleetEstimates(lambda instance_id: 1000)
     for number in range(20):
         estimates.pool("large").speed.note(5000, 0, 0.5, number * 0.1)
     assert estimates.pool("small").speed.cost == PrefillCost()
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mulberrydock.estimates import Learned
+from mulberrydock.estimates import FleetEstimates
 from mulberrydock.membership import Membership
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadBook
@@ -112,7 +112,7 @@
 def test_peers_hear_what_was_sent_where(lost):
     """A VM sends a document to an engine. Its peers know it with the next
     message; a message that is lost costs only that knowledge."""
-    here, there = (Learned(lambda instance_id: CAPACITY) for _ in range(2))
+    here, there = (FleetEstimates(lambda instance_id: CAPACITY) for _ in range(2))
     link = link_of("entry-1", here)
     peer = link_of("entry-2", there)
     here.was_read("e1", about("doc1"))
@@ -128,7 +128,7 @@
 def test_what_a_vm_learnt_of_a_pool_reaches_its_peers():
     """A VM has measured a pool. A peer that hasn't takes over the speed and adds
     the demand to its own."""
-    here, there = (Learned(lambda instance_id: CAPACITY) for _ in range(2))
+    here, there = (FleetEstimates(lambda instance_id: CAPACITY) for _ in range(2))
     link = link_of("entry-1", here)
     peer = link_of("entry-2", there)
     rng = random.Random(1)
