--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class PoolKnowledge:
+class PoolEstimates:
     """Of one service: how fast its engines read, and what is asked of it.
 
     ``stream_seconds`` is the average time from a stream's first event to its
@@ -70,8 +70,8 @@
         self.samples = []
 
     def pool(self, service):
-        """Return the :class:`PoolKnowledge` of a service."""
-        return self.pools.setdefault(service, PoolKnowledge())
+        """Return the :class:`PoolEstimates` of a service."""
+        return self.pools.setdefault(service, PoolEstimates())
 
     def was_read(self, instance_id, prompt):
         """An engine read a prompt, or fetched what another one had read."""
