--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define(frozen=True)
-class PoolNews:
+class PoolUpdate:
     """What one VM tells of one service; ``cost`` is None without samples."""
 
     service: str
@@ -118,7 +118,7 @@
         )
 
     def news(self, now, peers=frozenset()):
-        """Return a :class:`PoolNews` of each service.
+        """Return a :class:`PoolUpdate` of each service.
 
         :param peers: names of the peers whose demand is added to this VM's.
         """
@@ -126,11 +126,11 @@
         for service, pool in self.pools.items():
             told = len(pool.speed.samples) >= TOLD_SAMPLES
             cost = pool.speed.cost if told else None
-            rows.append(PoolNews(service, pool.demand.total(now, peers), cost))
+            rows.append(PoolUpdate(service, pool.demand.total(now, peers), cost))
         return rows
 
     def hear_news(self, peer, rows, now):
-        """Take a peer's :class:`PoolNews`."""
+        """Take a peer's :class:`PoolUpdate`."""
         for row in rows:
             pool = self.pool(row.service)
             pool.demand.hear(peer, row.demand, now)
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -4,7 +4,7 @@
 
 from . import records
 from .demand import Demand
-from .estimates import PoolNews, PrefillSample
+from .estimates import PoolUpdate, PrefillSample
 from .peer_loads import Load, PeerReport
 from .prefill_cost import PrefillCost
 from .quarantine import Crash
@@ -37,7 +37,7 @@
 
     ``name`` is the sender's; ``data_centre`` is whose sum it is, empty for the
     sender's own. ``reads`` maps instance ids to (key, tokens) rows of parts that
-    were read there since the last message, ``pools`` are :class:`PoolNews`,
+    were read there since the last message, ``pools`` are :class:`PoolUpdate`,
     ``samples`` are :class:`PrefillSample`, ``crashes`` are
     :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitNews`.
     """
@@ -72,7 +72,7 @@
         row.reading, row.moved, row.streams, row.apart, row.inPlace, row.short
     )
     cost = PrefillCost(row.overhead, row.token, row.pair) if row.token > 0 else None
-    return PoolNews(row.service, demand, cost)
+    return PoolUpdate(row.service, demand, cost)
 
 
 def _load_rows(loads):
