--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(frozen=True)
-class PeerNews:
+class PeerUpdate:
     """One message.
 
     ``name`` is the sender's; ``data_centre`` is whose sum it is, empty for the
@@ -99,7 +99,7 @@
 
 
 def encode(news):
-    """Return a :class:`PeerNews` as the bytes of a datagram."""
+    """Return a :class:`PeerUpdate` as the bytes of a datagram."""
     report = news.report
     message = records.PeerMessage.new_message(
         name=news.name,
@@ -122,7 +122,7 @@
 
 
 def decode(data, now):
-    """Return the :class:`PeerNews` in a datagram that arrived at ``now``.
+    """Return the :class:`PeerUpdate` in a datagram that arrived at ``now``.
 
     :raises Exception: capnp's own unlisted types, when it is no peer's message.
     """
@@ -139,7 +139,7 @@
         message.intervalMs / 1000,
         frozenset(message.suspects),
     )
-    return PeerNews(
+    return PeerUpdate(
         message.name,
         report,
         message.dataCentre,
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -9,7 +9,7 @@
 from . import peer_messages
 from ._http import split_address
 from .peer_loads import PeerReport
-from .peer_messages import LimitNews, PeerNews
+from .peer_messages import LimitNews, PeerUpdate
 from .rendezvous import rank
 
 #: Seconds between two messages to each peer. A prefill takes 20 to 150 ms, so
@@ -190,14 +190,14 @@
         self.messages += 1
         limits = self._limit_news(now, self.messages)
         if self.estimates is None:
-            return peer_messages.encode(PeerNews(self.name, report, limits=limits))
+            return peer_messages.encode(PeerUpdate(self.name, report, limits=limits))
         reads = self.estimates.cache.take_news()
         self._note_reads(reads)
         tell_pools = self.messages % MESSAGES_A_POOL_REPORT == 0
         pools = self.estimates.news(now) if tell_pools else []
         samples = self.estimates.take_samples()
         crashes = self.quarantine.take_news(now) if self.quarantine else []
-        news = PeerNews(self.name, report, "", reads, pools, samples, crashes, limits)
+        news = PeerUpdate(self.name, report, "", reads, pools, samples, crashes, limits)
         return peer_messages.encode(news)
 
     def sum_message(self, now):
@@ -209,7 +209,7 @@
         if self.estimates is not None:
             pools = self.estimates.news(now, self.groups.direct().keys())
         self.sums += 1
-        news = PeerNews(
+        news = PeerUpdate(
             self.name,
             report,
             self.groups.data_centre,
