--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(frozen=True)
-class LimitNews:
+class LimitUpdate:
     """The limit that an instance declares: requests a second, None when it has none any
     more, and the seconds since an answer showed it."""
 
@@ -39,7 +39,7 @@
     sender's own. ``reads`` maps instance ids to (key, tokens) rows of parts that
     were read there since the last message, ``pools`` are :class:`PoolUpdate`,
     ``samples`` are :class:`PrefillSample`, ``crashes`` are
-    :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitNews`.
+    :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitUpdate`.
     """
 
     name: str
@@ -150,5 +150,5 @@
             for row in message.samples
         ],
         [Crash(row.work, row.instance) for row in message.crashes],
-        [LimitNews.from_row(row) for row in message.limits],
+        [LimitUpdate.from_row(row) for row in message.limits],
     )
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -9,7 +9,7 @@
 from . import peer_messages
 from ._http import split_address
 from .peer_loads import PeerReport
-from .peer_messages import LimitNews, PeerUpdate
+from .peer_messages import LimitUpdate, PeerUpdate
 from .rendezvous import rank
 
 #: Seconds between two messages to each peer. A prefill takes 20 to 150 ms, so
@@ -147,12 +147,12 @@
             self.limits.hear(limit.instance, limit.rate, now - limit.age, now)
 
     def _limit_news(self, now, number):
-        """Return the :class:`LimitNews` of the message of that number."""
+        """Return the :class:`LimitUpdate` of the message of that number."""
         if self.limits is None:
             return []
         everything = number % MESSAGES_A_POOL_REPORT == 0
         return [
-            LimitNews(limit.instance, limit.rate, now - limit.observed_at)
+            LimitUpdate(limit.instance, limit.rate, now - limit.observed_at)
             for limit in self.limits.news(now, everything)
         ]
 
