--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -5,7 +5,7 @@
 from .admission import RetryBudget
 from .estimates import FleetEstimates
 from .instances import InstanceRegistry, Stage
-from .peer_loads import LoadBook
+from .peer_loads import LoadTracker
 from .placement import FAR_MOVE_FACTOR, Placement, Plan, Pool, is_short, lot
 from .prefill_cost import IN_PLACE_SHARE
 from .quarantine import Quarantine
@@ -36,7 +36,7 @@
     def __init__(self, data_centre, timing, peers, on_gone, limits=None):
         self.routes = RouteTable()
         self.instances = InstanceRegistry(on_gone)
-        self.loads = LoadBook()
+        self.loads = LoadTracker()
         self.suspicion = Suspicion()
         self.limits = limits or RateLimits()
         self.quarantine = Quarantine()
--- a/src/mulberrydock/peer_groups.py
+++ b/src/mulberrydock/peer_groups.py
@@ -23,7 +23,7 @@
     """Decides from the members of the fleet; ``data_centre`` is this VM's.
 
     :param membership: the :class:`~mulberrydock.membership.Membership`.
-    :param book: the :class:`~mulberrydock.peer_loads.LoadBook`, which knows who
+    :param book: the :class:`~mulberrydock.peer_loads.LoadTracker`, which knows who
         is heard.
     """
 
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -95,7 +95,7 @@
 
 @attrs.define(eq=False)
 class Work:
-    """One send counted in a :class:`LoadBook` until it ends.
+    """One send counted in a :class:`LoadTracker` until it ends.
 
     ``tokens`` are those still to be read, 0 once the prompt is prefilled.
     """
@@ -131,7 +131,7 @@
     return {i: combined(loads) for i, loads in by_instance.items()}
 
 
-class LoadBook:
+class LoadTracker:
     """This VM's own loads and those its peers reported.
 
     ``reports`` are those of single peers by their names, ``sums`` those of whole
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -37,7 +37,7 @@
     """Sends this VM's loads to its peers and takes theirs.
 
     :param name: this VM's name.
-    :param book: the :class:`~mulberrydock.peer_loads.LoadBook` to send from
+    :param book: the :class:`~mulberrydock.peer_loads.LoadTracker` to send from
         and to feed.
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`: whom to tell.
     :param leaving: returns True once this VM drains.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -16,7 +16,7 @@
 from mulberrydock import refusal
 from mulberrydock.demand import Demand, DemandMeter
 from mulberrydock.instances import Instance, InstanceRecord, Stage
-from mulberrydock.peer_loads import LoadBook, PeerReport
+from mulberrydock.peer_loads import LoadTracker, PeerReport
 from mulberrydock.placement import Placement, Pool, lot
 from mulberrydock.prefill_cost import IN_PLACE_SHARE, PrefillCost
 from mulberrydock.prefix_cache import PrefixCacheIndex
@@ -104,7 +104,7 @@
 
     def __init__(self, name):
         self.name = name
-        self.loads = LoadBook()
+        self.loads = LoadTracker()
         self.cache = PrefixCacheIndex()
         self.placement = Placement("dc1")
         self.sequence = 0
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -6,7 +6,7 @@
 from mulberrydock import peers as peers_module
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.peer_groups import PeerGroups
-from mulberrydock.peer_loads import LoadBook
+from mulberrydock.peer_loads import LoadTracker
 from mulberrydock.peers import SUM_SECONDS, PeerLink
 from mulberrydock.rate_limits import RateLimits
 from mulberrydock.serve import EntryVm
@@ -32,7 +32,7 @@
     name: str
     data_centre: str
     membership: Membership
-    book: LoadBook
+    book: LoadTracker
     groups: PeerGroups
     link: PeerLink
     next_message: float = 0.0
@@ -65,7 +65,7 @@
     def add(self, name, data_centre):
         """Add a VM that knows nobody yet."""
         membership = Membership(None, EntryVm(name, name, data_centre))
-        book = LoadBook()
+        book = LoadTracker()
         groups = PeerGroups(membership, book, data_centre)
         limits = RateLimits(name, groups.senders)
         link = PeerLink(name, book, groups, bool, limits=limits)
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -10,7 +10,7 @@
 from mulberrydock.instances import InstanceRecord
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.peer_groups import PeerGroups
-from mulberrydock.peer_loads import Load, LoadBook, PeerReport
+from mulberrydock.peer_loads import Load, LoadTracker, PeerReport
 from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_SECONDS, PeerLink
 from mulberrydock.serve import EntryVm
 from mulberrydock.suspicion import Suspicion
@@ -31,7 +31,7 @@
     """A peer dies with requests in flight. Its last counts are added to our
     own for a moment and then forgotten, so that its engine isn't avoided for
     work that no one does any more."""
-    book = LoadBook()
+    book = LoadTracker()
     work = book.begin("e1", 100)
     book.receive("entry-2", report(1, 10.0, {"e1": Load(2, (0, 500), 400)}))
     assert book.total(10.5)["e1"] == Load(3, (100, 500), 400)
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize(("sequence", "kept"), [(1, 5), (2, 5), (3, 7)])
 def test_datagrams_out_of_order(sequence, kept):
     """Datagrams overtake each other. An older one changes nothing."""
-    book = LoadBook()
+    book = LoadTracker()
     book.receive("entry-2", report(2, 1.0, {"e1": Load(5)}))
     book.receive("entry-2", report(sequence, 1.1, {"e1": Load(7)}))
     assert book.total(1.2)["e1"].running == kept
@@ -69,7 +69,7 @@
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     for number in (1, 2, 3):
         membership.peers[f"entry-{number}"] = Peer(f"a{number}", "dc1")
-    book = LoadBook()
+    book = LoadTracker()
     for peer in heard:
         book.receive(peer, report(1, 100.0, leaving=peer in leaving))
     directory = Directory(PeerGroups(membership, book, "dc1"), "a1")
@@ -82,7 +82,7 @@
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     membership.peers["entry-2"] = Peer("a2", "dc1")
     membership.reset()
-    book = LoadBook()
+    book = LoadTracker()
     book.receive("entry-2", report(1, 100.0))
     directory = Directory(PeerGroups(membership, book, "dc1"), "a1")
     assert directory.addresses(False, 100.5) == ["a1", "a2"]
@@ -101,7 +101,7 @@
 def test_loads_survive_the_message_to_a_peer():
     """A VM tells its peers what waits at an engine, by urgency; the peer must
     read the same, or it sends short prompts behind long ones."""
-    book, peer_book = LoadBook(), LoadBook()
+    book, peer_book = LoadTracker(), LoadTracker()
     book.begin("e1", 3000, 2)
     book.begin("e1", 700, 0)
     link = PeerLink("entry-1", book, alone(book), bool)
@@ -118,7 +118,7 @@
     for number in range(1, peers + 1):
         peer = Peer(f"a{number}", "dc1", f"10.0.0.1:{number}")
         membership.peers[f"entry-{number}"] = peer
-    book = LoadBook()
+    book = LoadTracker()
     link = PeerLink("entry-0", book, PeerGroups(membership, book, "dc1"), bool)
     assert peers / link.interval() <= PEERS_AT_FULL_RATE / SEND_SECONDS + 1e-9
 
@@ -139,7 +139,7 @@
         suspicion = Suspicion()
         if number < failed_at:
             suspicion.failed("e1", time.monotonic(), unreachable=True)
-        book = LoadBook()
+        book = LoadTracker()
         peer = PeerLink(
             f"entry-{number + 1}", book, alone(book), bool, None, suspicion.suspects
         )
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -7,7 +7,7 @@
 from mulberrydock.estimates import FleetEstimates
 from mulberrydock.membership import Membership
 from mulberrydock.peer_groups import PeerGroups
-from mulberrydock.peer_loads import LoadBook
+from mulberrydock.peer_loads import LoadTracker
 from mulberrydock.peers import PeerLink
 from mulberrydock.prefix_cache import KEPT_SHARE, PrefixCacheIndex
 from mulberrydock.request import Prompt, PromptPart
@@ -19,7 +19,7 @@
 def link_of(name, estimates):
     """Return the link of a VM that knows no peer."""
     membership = Membership(None, EntryVm(name, "a1", "dc1"))
-    book = LoadBook()
+    book = LoadTracker()
     groups = PeerGroups(membership, book, "dc1")
     return PeerLink(name, book, groups, bool, estimates)
 
