--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -94,7 +94,7 @@
 
 
 @attrs.define(eq=False)
-class Work:
+class InFlightSend:
     """One send counted in a :class:`LoadTracker` until it ends.
 
     ``tokens`` are those still to be read, 0 once the prompt is prefilled.
@@ -176,8 +176,8 @@
 
     def begin(self, instance_id, tokens, urgency=0):
         """Count a send in whose prompt has ``tokens`` to read; return its
-        :class:`Work`."""
-        work = Work(self, instance_id, tokens, urgency)
+        :class:`InFlightSend`."""
+        work = InFlightSend(self, instance_id, tokens, urgency)
         self.works.setdefault(instance_id, set()).add(work)
         return work
 
