--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class Standing:
+class InstanceHealth:
     """What the requests of this VM showed of one instance."""
 
     failures: int = 0
@@ -35,8 +35,8 @@
         self.standings = {}
 
     def of(self, instance_id):
-        """Return the :class:`Standing` of an instance."""
-        return self.standings.setdefault(instance_id, Standing())
+        """Return the :class:`InstanceHealth` of an instance."""
+        return self.standings.setdefault(instance_id, InstanceHealth())
 
     def answered(self, instance_id):
         """The instance gave a whole answer."""
