--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -163,7 +163,7 @@
 
 
 @attrs.define
-class Ordered:
+class PendingOrder:
     """An order that was sent: the stage it asks for, until when it may still
     be at work and, if it wasn't answered, from when on it may be given again
     (monotonic seconds)."""
@@ -178,7 +178,7 @@
     """Decides stage changes of one pool; remembers since when it is off.
 
     ``lacking`` is the stage that it lacks since ``off_since``; ``ordered`` maps
-    incarnations' names to the :class:`Ordered` that may be at work; ``noticed_at``
+    incarnations' names to the :class:`PendingOrder` that may be at work; ``noticed_at``
     is when an engine of the pool was last known to be leaving, ``lost_at`` when one
     left that might come back.
     """
@@ -204,7 +204,7 @@
             return
         repeats = settle == UNANSWERED_SETTLE_SECONDS
         repeat_at = now + REPEAT_SECONDS if repeats else None
-        order = Ordered(change.stage, now + settle, repeat_at)
+        order = PendingOrder(change.stage, now + settle, repeat_at)
         self.ordered[change.instance.id] = order
 
     def _repeated(self, engines, now):
