--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -21,7 +21,7 @@
 from .configuration import ConfigFollower, PeerConfig
 from .crash_guard import CrashGuard
 from .idempotency import RecordLeases
-from .load_report import LoadFollower
+from .load_report import LoadPoller
 from .membership import Membership, Peer
 from .metrics import EntryMetrics
 from .policies import POLICIES
@@ -67,7 +67,7 @@
         )
         self.settling = set()
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
-        self.loads = LoadFollower(self.engines)
+        self.loads = LoadPoller(self.engines)
         self.config = ConfigFollower(store, settings, self._on_config)
         self.peer_config = PeerConfig(
             self.config, [e.address for e in settings.entries if e is not entry]
--- a/src/mulberrydock/load_report.py
+++ b/src/mulberrydock/load_report.py
@@ -31,7 +31,7 @@
     )
 
 
-class LoadFollower:
+class LoadPoller:
     """Reads each engine of a router in turn; an engine that fails to answer
     keeps its last report until it expires.
 
