--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -11,7 +11,7 @@
 from .connections import ConnectionPool
 from .exceptions import ConnectionCut
 from .quarantine import Quarantine
-from .quarantine_sync import QuarantineKeeper
+from .quarantine_sync import QuarantineSync
 
 
 @attrs.define
@@ -19,7 +19,7 @@
     """Knows the work that crashes upstreams; ``keeper`` writes it to the store."""
 
     book: Quarantine
-    keeper: QuarantineKeeper
+    keeper: QuarantineSync
 
     @classmethod
     def from_store(cls, store, name, on_duty):
@@ -28,7 +28,7 @@
         :param on_duty: returns True at the one entry that removes what is old.
         """
         book = Quarantine()
-        return cls(book, QuarantineKeeper(book, store, name, on_duty))
+        return cls(book, QuarantineSync(book, store, name, on_duty))
 
     def holds(self, work):
         """True when ``work``, a fingerprint, must not be sent to any upstream."""
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class QuarantineKeeper:
+class QuarantineSync:
     """Keeps the store in step with a :class:`~mulberrydock.quarantine.Quarantine`.
 
     :param name: this VM's name, for those who read the records.
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -27,7 +27,7 @@
 from .pages import make_pages
 from .peer_groups import PeerGroups
 from .peers import PeerLink
-from .quarantine_sync import QuarantineKeeper
+from .quarantine_sync import QuarantineSync
 from .rate_limits import RateLimits
 from .relay import Relay
 from .rendezvous import rank
@@ -133,7 +133,7 @@
             settings.name,
             settings.timing.lease_seconds,
         )
-        self.quarantine = QuarantineKeeper(
+        self.quarantine = QuarantineSync(
             self.fleet.quarantine,
             store,
             settings.name,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
     Crash,
     Quarantine,
 )
-from mulberrydock.quarantine_sync import QuarantineKeeper
+from mulberrydock.quarantine_sync import QuarantineSync
 from mulberrydock.request import Request, fingerprint
 
 WORK = fingerprint("work")
@@ -264,7 +264,7 @@
 
 
 def keeper(store, on_duty=False):
-    return QuarantineKeeper(Quarantine(), store, "entry-1", lambda: on_duty)
+    return QuarantineSync(Quarantine(), store, "entry-1", lambda: on_duty)
 
 
 def load(store):
