--- a/src/mulberrydock/connections.py
+++ b/src/mulberrydock/connections.py
@@ -71,7 +71,7 @@
 
 
 @attrs.define
-class WholeAnswer(Listener):
+class BufferedResponse(Listener):
     """Collects a whole answer in memory."""
 
     status: int = 0
--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -12,7 +12,7 @@
 import tornado.httputil
 from expression import Error, Ok
 
-from ..connections import ConnectionPool, WholeAnswer
+from ..connections import BufferedResponse, ConnectionPool
 from ..exceptions import StoreError, UpstreamError, VersionConflict
 from ..store import Event, Item, WatchBatch
 
@@ -47,7 +47,7 @@
         return result
 
     async def _exchange(self, method, path, body, timeout):
-        answer = WholeAnswer()
+        answer = BufferedResponse()
         payload = b"" if body is None else json.dumps(body).encode()
         headers = tornado.httputil.HTTPHeaders({"Host": self.address})
         if body is not None:
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -6,7 +6,7 @@
 import attrs
 from loguru import logger
 
-from .connections import WholeAnswer
+from .connections import BufferedResponse
 from .demand import Demand
 from .estimates import PrefillSample
 from .exceptions import CallRefused, ConnectionCut, ResultCode, UpstreamError
@@ -81,7 +81,7 @@
             priority=self.plan.urgency,
             prefill_only=True,
         )
-        answer = WholeAnswer()
+        answer = BufferedResponse()
         limit = PREFILL_SECONDS + WAIT_MARGIN * self.plan.wait
         exchange = self.relay.exchange(self.engine, self.request, options, answer)
         try:
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from .connections import ConnectionPool, WholeAnswer
+from .connections import BufferedResponse, ConnectionPool
 from .crash_probe import CrashProbe
 from .exceptions import ResultCode, UpstreamError
 from .refusal import RETRY_AFTER_SECONDS
@@ -143,9 +143,9 @@
         """Make one :class:`~mulberrydock.request.UpstreamCall` at an instance.
 
         :param seconds: how long its answer may take.
-        :returns: the :class:`WholeAnswer`, None when none came.
+        :returns: the :class:`BufferedResponse`, None when none came.
         """
-        answer = WholeAnswer()
+        answer = BufferedResponse()
         exchange = self.pool(instance).exchange(
             call.method,
             call.target,
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from . import refusal
-from .connections import WholeAnswer
+from .connections import BufferedResponse
 from .demand import Demand
 from .exceptions import ConnectionCut, ResultCode, UpstreamError
 from .placement import PRIORITY_MAX
@@ -201,7 +201,7 @@
 
     async def _call(self, plan):
         """One send of a plain call; True when the client was answered."""
-        answer = WholeAnswer()
+        answer = BufferedResponse()
         patience = self._patience(PLAIN_ANSWER_SECONDS, PLAIN_ANSWER_SECONDS)
         work = self.fleet.loads.begin(plan.target.id, 0)
         if not await self._send(plan, answer, work, patience):
