--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -7,7 +7,14 @@
 
 from ..exceptions import UpstreamError
 from ..ports import Wire
-from ..request import KvHandle, Prompt, PromptPart, Request, ResponseMarks, UpstreamCall
+from ..request import (
+    KvHandle,
+    Prompt,
+    PromptPart,
+    Request,
+    ResponseMetadata,
+    UpstreamCall,
+)
 from .documents import read_report
 
 ATTEMPT_ID = "X-Mulberrydock-Attempt-Id"
@@ -112,7 +119,7 @@
         return headers
 
     def read_marks(self, headers):
-        return ResponseMarks(
+        return ResponseMetadata(
             request_id=headers.get(ATTEMPT_ID, ""),
             instance=headers.get(INSTANCE_ID, ""),
             signed=SIGNATURE in headers,
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -23,7 +23,7 @@
 
     @abc.abstractmethod
     def read_marks(self, headers):
-        """Return the :class:`~mulberrydock.request.ResponseMarks` of an answer."""
+        """Return the :class:`~mulberrydock.request.ResponseMetadata` of an answer."""
 
     @abc.abstractmethod
     def answer_headers(self, headers):
--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -195,7 +195,7 @@
 
 
 @attrs.define(frozen=True)
-class ResponseMarks:
+class ResponseMetadata:
     """What an upstream states about its answer beside status and body.
 
     ``request_id`` is the request that the answer names and ``instance`` the
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -20,7 +20,7 @@
     Prompt,
     PromptPart,
     Request,
-    ResponseMarks,
+    ResponseMetadata,
     Route,
     RoutingConfig,
     ServiceSpec,
@@ -155,7 +155,7 @@
         listener.on_headers(self.status, HTTPHeaders())
 
     def read_marks(self, headers):
-        return ResponseMarks("", "", False, True, None, False)
+        return ResponseMetadata("", "", False, True, None, False)
 
     async def prefill(self):
         """Plan a long prompt, and have it read apart if that is the plan."""
