--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -32,7 +32,7 @@
 from .relay import Relay
 from .rendezvous import rank
 from .serve_settings import load_serve_settings
-from .stage_controller import StageDuty
+from .stage_controller import StageController
 from .watch import PROBE_SECONDS, PrefixWatch
 
 #: Seconds within which a watch that went silent must be noticed before the
@@ -125,7 +125,7 @@
             boot_seconds,
             self._duty_turn,
         )
-        self.duty = StageDuty(
+        self.duty = StageController(
             self.fleet,
             self.relay,
             wire,
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class StageDuty:
+class StageController:
     """Plans and orders stage changes while this VM holds the lease.
 
     :param lease: a :class:`~mulberrydock.lease.LeaderLease`.
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -18,7 +18,7 @@
 from mulberrydock.request import Kind, Route, RoutingConfig, Split
 from mulberrydock.route_table import RouteTable
 from mulberrydock.sse import EventSplitter
-from mulberrydock.stage_controller import StageDuty
+from mulberrydock.stage_controller import StageController
 from mulberrydock.suspicion import FIRST_HOLD_SECONDS, Suspicion
 
 
@@ -103,7 +103,7 @@
         def valid(self, moment):
             return self.authority.valid(moment, 3.0)
 
-    duty = StageDuty(None, None, None, Lease(), "entry-1", 3.0)
+    duty = StageController(None, None, None, Lease(), "entry-1", 3.0)
     assert duty.may_order(now) is may
 
 
--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -11,7 +11,7 @@
 from mulberrydock.instances import EngineReport, InstanceRecord, Stage
 from mulberrydock.lease import Authority, LeaderLease
 from mulberrydock.request import RoutingConfig, ServiceSpec
-from mulberrydock.stage_controller import StageDuty
+from mulberrydock.stage_controller import StageController
 from mulberrydock.stages import FEW_PREFILLS_SECONDS, idle_prefills
 
 
@@ -61,7 +61,7 @@
         fleet.instances.put(record, 0.0)
     lease = LeaderLease(engines, "entry-1", 1000.0, clock=boot_seconds)
     lease.authority = Authority(1, 7, boot_seconds(), boot_seconds() - 10)
-    return StageDuty(fleet, engines, engines, lease, "entry-1", 1.0)
+    return StageController(fleet, engines, engines, lease, "entry-1", 1.0)
 
 
 @pytest.mark.parametrize(
