--- a/src/mulberrydock/configuration.py
+++ b/src/mulberrydock/configuration.py
@@ -77,7 +77,7 @@
         await PrefixWatch(self.store, defaults.CONFIG_KEY, self._on_item).run()
 
 
-class PeerConfig:
+class PeerConfigFetcher:
     """Task that learns the configuration from other entries.
 
     An entry that starts while the store is down would know only what its
--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -18,7 +18,7 @@
 from . import defaults, handlers, records
 from ._http import split_address
 from .admission import Admission, RetryBudget
-from .configuration import ConfigFollower, PeerConfig
+from .configuration import ConfigFollower, PeerConfigFetcher
 from .crash_guard import CrashGuard
 from .idempotency import RecordLeases
 from .load_report import LoadPoller
@@ -69,7 +69,7 @@
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
         self.loads = LoadPoller(self.engines)
         self.config = ConfigFollower(store, settings, self._on_config)
-        self.peer_config = PeerConfig(
+        self.peer_config = PeerConfigFetcher(
             self.config, [e.address for e in settings.entries if e is not entry]
         )
         self.plan = PrefixWatch(store, defaults.PLAN_KEY, self._on_plan)
