--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -6,7 +6,14 @@
 from .estimates import FleetEstimates
 from .instances import InstanceRegistry, Stage
 from .peer_loads import LoadTracker
-from .placement import FAR_MOVE_FACTOR, Placement, Plan, Pool, is_short, lot
+from .placement import (
+    FAR_MOVE_FACTOR,
+    Placement,
+    Plan,
+    Pool,
+    is_short,
+    request_hash_fraction,
+)
 from .prefill_cost import IN_PLACE_SHARE
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
@@ -178,7 +185,9 @@
         """Return ``plan`` with the decode engine that is best now, or None."""
         pool = self._pool(service, tried, now)
         moved = request.prompt.tokens
-        target = self.placement.decoder(pool, moved, plan.prefill, lot(request.id))
+        target = self.placement.decoder(
+            pool, moved, plan.prefill, request_hash_fraction(request.id)
+        )
         return target and attrs.evolve(plan, target=target)
 
     def note_demand(self, prompt, route, service, now):
@@ -215,4 +224,6 @@
                 return None
             return Plan(self.placement.least_loaded(sound, self.loads.total(now)))
         pool = self._pool(service, tried, now)
-        return self.placement.plan(request.prompt, route, pool, lot(request.id))
+        return self.placement.plan(
+            request.prompt, route, pool, request_hash_fraction(request.id)
+        )
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -124,7 +124,7 @@
     urgency: int
 
 
-def lot(request_id):
+def request_hash_fraction(request_id):
     """Return a number from 0 to 1 that every VM draws for a request alike."""
     return int.from_bytes(rank("lot", request_id)) / 2**64
 
@@ -137,7 +137,7 @@
     before the others of its route once its client would leave otherwise.
 
     :param reading: seconds that its engine takes for it.
-    :param drawn: the request's :func:`lot`.
+    :param drawn: the request's :func:`request_hash_fraction`.
     :param load: the :class:`Load` of that engine.
     :param cost: the pool's :class:`PrefillCost`.
     """
@@ -195,7 +195,7 @@
     def _options(self, prompt, route, drawn, instances, pool, busy, share=1.0):
         """Return an :class:`Option` for each instance.
 
-        :param drawn: the request's :func:`lot`.
+        :param drawn: the request's :func:`request_hash_fraction`.
         :param busy: utilization of their stage.
         :param share: speed of these engines against a prefill engine's.
         """
@@ -276,7 +276,7 @@
     def plan(self, prompt, route, pool, drawn=1.0):
         """Return a :class:`Plan` for a prompt, or None without a decode engine.
 
-        :param drawn: the request's :func:`lot`.
+        :param drawn: the request's :func:`request_hash_fraction`.
         :param pool: the :class:`Pool` to choose from.
         """
         if not pool.decoders:
@@ -331,7 +331,7 @@
         """Return the best engine to decode, None without one.
 
         :param moved: tokens whose KV cache comes from ``source``.
-        :param drawn: the request's :func:`lot`, which decides between equals: each
+        :param drawn: the request's :func:`request_hash_fraction`, which decides between equals: each
             request finds another order of them.
         """
         level = self._running_level(pool)
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -17,7 +17,7 @@
 from mulberrydock.demand import Demand, DemandMeter
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import LoadTracker, PeerReport
-from mulberrydock.placement import Placement, Pool, lot
+from mulberrydock.placement import Placement, Pool, request_hash_fraction
 from mulberrydock.prefill_cost import IN_PLACE_SHARE, PrefillCost
 from mulberrydock.prefix_cache import PrefixCacheIndex
 
@@ -202,7 +202,9 @@
         """Plan a request as a VM does: refuse it, or send its prompt."""
         pool = self.known_to(vm)
         job.vm = vm
-        job.plan = vm.placement.plan(job.prompt, job.route, pool, lot(job.name))
+        job.plan = vm.placement.plan(
+            job.prompt, job.route, pool, request_hash_fraction(job.name)
+        )
         patience, left = job.route.patience, job.route.timeout
         if refusal.refuse(job.plan, patience, True, left) is not None:
             job.refused = True
@@ -229,7 +231,7 @@
         target = job.plan.target
         if job.plan.prefill:
             pool = self.known_to(job.vm)
-            drawn = lot(job.name)
+            drawn = request_hash_fraction(job.name)
             target = job.vm.placement.decoder(
                 pool, job.prompt.tokens, job.plan.prefill, drawn
             )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,13 @@
 
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import Load
-from mulberrydock.placement import Placement, Pool, lot, owner, prefill_urgency
+from mulberrydock.placement import (
+    Placement,
+    Pool,
+    owner,
+    prefill_urgency,
+    request_hash_fraction,
+)
 from mulberrydock.prefill_cost import PrefillCost
 from mulberrydock.prefix_cache import PrefixCacheIndex
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
@@ -213,7 +219,7 @@
     reading, waits, spared
 ):
     route = attrs.evolve(ROUTE, latency_objective=0.6, priority=2, patience=2.4)
-    drawn = [lot(f"request-{number}") for number in range(400)]
+    drawn = [request_hash_fraction(f"request-{number}") for number in range(400)]
     load = Load(1, (int(waits / COST.token),))
     urgencies = [prefill_urgency(reading, route, d, load, COST) for d in drawn]
     urgent = sum(urgency == 1 for urgency in urgencies)
