--- a/src/mulberrydock/refusal.py
+++ b/src/mulberrydock/refusal.py
@@ -30,7 +30,7 @@
     """Why a request is refused, and the seconds after which its client comes back."""
 
     reason: str
-    come_back: float
+    retry_after: float
 
 
 def refuse(plan, patience, most_urgent, left):
@@ -44,7 +44,7 @@
     if plan.crowded and not most_urgent:
         # With more streams than places all of them are slower, and the long answers
         # reach their deadline; the most urgent ones take the places of others.
-        return Refusal("no decode engine has a place", come_back(True, left))
+        return Refusal("no decode engine has a place", retry_after(True, left))
     return _hopeless(plan, min(patience, left), left)
 
 
@@ -60,7 +60,7 @@
     return Refusal(f"expected to wait {plan.wait:.1f} s", seconds)
 
 
-def come_back(found_instance, left):
+def retry_after(found_instance, left):
     """Return the seconds after which a refused client may find a place, as far
     as it has the time for it.
 
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -390,15 +390,15 @@
             retry_after = refusal.QUARANTINE_RETRY_SECONDS
             self.relay.reject(self.request, self.sink, 503, self.cause, retry_after)
             return ResultCode.QUARANTINED
-        come_back = refusal.come_back(bool(self.tried), self._left(now))
-        self.relay.reject(self.request, self.sink, 503, self.cause, come_back)
+        retry_after = refusal.retry_after(bool(self.tried), self._left(now))
+        self.relay.reject(self.request, self.sink, 503, self.cause, retry_after)
         return ResultCode.NO_UPSTREAM
 
     def _shed(self, refused):
         """Final answer to a request that is refused before its first attempt."""
         self.cause = refused.reason
         self.relay.reject(
-            self.request, self.sink, 503, refused.reason, refused.come_back
+            self.request, self.sink, 503, refused.reason, refused.retry_after
         )
         return ResultCode.SHED
 
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -38,7 +38,7 @@
     comes back to a shorter queue."""
     plan = Plan(None, None, 0, wait, reading)
     refused = refusal.refuse(plan, 2.4, False, left)
-    assert (refused and refused.come_back) == pytest.approx(seconds)
+    assert (refused and refused.retry_after) == pytest.approx(seconds)
 
 
 # Guards against more streams than decode engines have places for: all of them are slow
@@ -69,7 +69,7 @@
     """The last decode engine leaves and another is changed to take its place,
     which takes 3 s. A client that comes back after half a second is refused
     again and gives up."""
-    assert refusal.come_back(found, left) == pytest.approx(seconds)
+    assert refusal.retry_after(found, left) == pytest.approx(seconds)
 
 
 @pytest.mark.parametrize(
