--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -107,7 +107,7 @@
     return count - max(least, round(count * share))
 
 
-def bearable_places(slots):
+def sustainable_streams(slots):
     """Return how many requests an engine of ``slots`` places bears on average.
 
     The number in use varies by its square root, so that twice that must be free: an
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -15,9 +15,9 @@
     UNANSWERED_SETTLE_SECONDS,
     StageNeeds,
     StagePlanner,
-    bearable_places,
     idle_prefills,
     prefills_wanted,
+    sustainable_streams,
 )
 
 #: Needs under which no stage of five engines is short.
@@ -152,7 +152,7 @@
 def test_engine_with_few_places_bears_a_smaller_share(slots, bearable):
     """Streams come at random. An engine of 12 places that has nine of them on
     average is full at every moment or other, and preempts; one of 64 is not."""
-    assert bearable_places(slots) == pytest.approx(bearable, abs=0.01)
+    assert sustainable_streams(slots) == pytest.approx(bearable, abs=0.01)
 
 
 @pytest.mark.parametrize(
