--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -73,9 +73,9 @@
         """Return the :class:`PoolEstimates` of a service."""
         return self.pools.setdefault(service, PoolEstimates())
 
-    def was_read(self, instance_id, prompt):
+    def record_prefill(self, instance_id, prompt):
         """An engine read a prompt, or fetched what another one had read."""
-        self.cache.was_read(instance_id, prompt, self.capacity(instance_id))
+        self.cache.record_prefill(instance_id, prompt, self.capacity(instance_id))
 
     def note_demand(self, service, prompt, work, short, now):
         """A client asks for a prompt's completion, whether it is served or not.
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -70,7 +70,7 @@
         finally:
             work.end()
         self.fleet.suspicion.answered(self.engine.id)
-        self.fleet.estimates.was_read(self.engine.id, self.request.prompt)
+        self.fleet.estimates.record_prefill(self.engine.id, self.request.prompt)
         self._learn(started, time.monotonic())
         return handle
 
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -47,7 +47,7 @@
         self.engines = {}
         self.news = {}
 
-    def was_read(self, instance_id, prompt, capacity):
+    def record_prefill(self, instance_id, prompt, capacity):
         """An engine has read or fetched a prompt for this VM."""
         rows = [(part_key(part.id), part.tokens) for part in prompt.parts]
         self.hear(instance_id, rows, capacity)
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -244,7 +244,7 @@
             if handle is not None and not taken:
                 self.relay.release(prefill, handle)
         if whole and listener.good:
-            self.fleet.estimates.was_read(plan.target.id, self.request.prompt)
+            self.fleet.estimates.record_prefill(plan.target.id, self.request.prompt)
             self._note_stream(plan, time.monotonic())
             self.served = True
             self.sink.finish()
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -94,8 +94,8 @@
     def end(self, job, now):
         """A prompt was read."""
         self.busy = False
-        self.kept.was_read("here", job.prompt, self.pool.memory)
-        self.pool.was_read(self, job, now)
+        self.kept.record_prefill("here", job.prompt, self.pool.memory)
+        self.pool.record_prefill(self, job, now)
         self.begin(now)
 
 
@@ -222,10 +222,10 @@
             job.left = True
             job.work.end()
 
-    def was_read(self, engine, job, now):
+    def record_prefill(self, engine, job, now):
         """A prompt was read: its stream begins, if its client is there."""
         job.work.end()
-        job.vm.cache.was_read(engine.instance.id, job.prompt, self.memory)
+        job.vm.cache.record_prefill(engine.instance.id, job.prompt, self.memory)
         if job.left:
             return
         target = job.plan.target
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -34,7 +34,7 @@
     """Return a pool; ``kept`` are (engine, prompt) pairs that were read."""
     cache = PrefixCacheIndex()
     for engine, prompt in kept:
-        cache.was_read(engine.id, prompt, MEMORY)
+        cache.record_prefill(engine.id, prompt, MEMORY)
     return Pool(prefills, decoders, loads or {}, COST, cache, **options)
 
 
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -56,7 +56,7 @@
     """One prompt about a document was read by an engine. Others with the same
     beginning need only the rest read there, and all of it elsewhere."""
     book = PrefixCacheIndex()
-    book.was_read("e1", about("doc1"), CAPACITY)
+    book.record_prefill("e1", about("doc1"), CAPACITY)
     assert book.cached("e1", asked) == cached
     assert book.cached("e2", asked) == 0
 
@@ -66,7 +66,7 @@
     last are believed to be there, the others not, and the book stays small."""
     book = PrefixCacheIndex()
     for number in range(200):
-        book.was_read("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
+        book.record_prefill("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
     kept = [n for n in range(200) if book.cached("e1", about(f"doc{n}", "x")) > 2000]
     assert kept == list(range(200 - len(kept), 200))
     assert book.engines["e1"].tokens <= CAPACITY * KEPT_SHARE
@@ -77,8 +77,8 @@
     """One document is asked for again and again while hundreds pass once."""
     book = PrefixCacheIndex()
     for number in range(100):
-        book.was_read("e1", about("hot", f"a{number}"), CAPACITY)
-        book.was_read("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
+        book.record_prefill("e1", about("hot", f"a{number}"), CAPACITY)
+        book.record_prefill("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
     assert book.cached("e1", about("hot", "x")) == 10_000
 
 
@@ -86,8 +86,8 @@
     """A prompt is larger than an engine's memory. The book neither grows
     without bound nor loses its count."""
     book = PrefixCacheIndex()
-    book.was_read("e1", prompt(("huge", CAPACITY * 3)), CAPACITY)
-    book.was_read("e1", about("doc1"), CAPACITY)
+    book.record_prefill("e1", prompt(("huge", CAPACITY * 3)), CAPACITY)
+    book.record_prefill("e1", about("doc1"), CAPACITY)
     assert book.engines["e1"].tokens == 13_000
 
 
@@ -102,7 +102,7 @@
 def test_engine_that_is_gone_keeps_nothing():
     """An engine is over, or has started again: its memory went with it."""
     book = PrefixCacheIndex()
-    book.was_read("e1", about("doc1"), CAPACITY)
+    book.record_prefill("e1", about("doc1"), CAPACITY)
     book.forget("e1")
     assert book.cached("e1", about("doc1")) == 0
     assert book.take_news() == {}
@@ -115,7 +115,7 @@
     here, there = (FleetEstimates(lambda instance_id: CAPACITY) for _ in range(2))
     link = link_of("entry-1", here)
     peer = link_of("entry-2", there)
-    here.was_read("e1", about("doc1"))
+    here.record_prefill("e1", about("doc1"))
     message = link.message(0.0)
     if not lost:
         peer.datagram_received(message, ("127.0.0.1", 1))
