--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -191,12 +191,12 @@
         limits = self._limit_news(now, self.messages)
         if self.estimates is None:
             return peer_messages.encode(PeerUpdate(self.name, report, limits=limits))
-        reads = self.estimates.cache.take_news()
+        reads = self.estimates.cache.take_updates()
         self._note_reads(reads)
         tell_pools = self.messages % MESSAGES_A_POOL_REPORT == 0
         pools = self.estimates.news(now) if tell_pools else []
         samples = self.estimates.take_samples()
-        crashes = self.quarantine.take_news(now) if self.quarantine else []
+        crashes = self.quarantine.take_updates(now) if self.quarantine else []
         news = PeerUpdate(self.name, report, "", reads, pools, samples, crashes, limits)
         return peer_messages.encode(news)
 
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -66,7 +66,7 @@
         for key, tokens in rows:
             cache.use(key, tokens, capacity * KEPT_SHARE)
 
-    def take_news(self):
+    def take_updates(self):
         """Return what peers haven't been told yet."""
         news, self.news = self.news, {}
         return news
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -197,7 +197,7 @@
             if unwritten.write_at <= now
         ]
 
-    def take_news(self, now):
+    def take_updates(self, now):
         """Return the crashes to tell the peers in the next message."""
         news = []
         for work, crashes in self.unwritten.items():
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -170,7 +170,7 @@
     def tell(self, vm):
         """Let a VM's peers know what it has in flight and had read."""
         vm.sequence += 1
-        news = vm.cache.take_news()
+        news = vm.cache.take_updates()
         report = PeerReport(
             vm.sequence, self.now, vm.loads.own(), interval=self.news_seconds
         )
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -105,7 +105,7 @@
     book.record_prefill("e1", about("doc1"), CAPACITY)
     book.forget("e1")
     assert book.cached("e1", about("doc1")) == 0
-    assert book.take_news() == {}
+    assert book.take_updates() == {}
 
 
 @pytest.mark.parametrize("lost", [False, True])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -161,8 +161,8 @@
 def test_peers_are_told_often_enough_for_a_lost_message():
     book = Quarantine()
     book.note_crash(WORK, "a", 1.0)
-    assert book.take_news(1.0) == []
-    told = [book.take_news(3.0) for _ in range(10)]
+    assert book.take_updates(1.0) == []
+    told = [book.take_updates(3.0) for _ in range(10)]
     assert told.count([Crash.of(WORK, "a")]) == quarantine.REPEATS
     assert told.count([]) == 10 - quarantine.REPEATS
 
@@ -173,16 +173,16 @@
     book = Quarantine()
     for number in range(1000):
         book.note_crash(f"w{number}", "a", 1.0)
-    told = [book.take_news(3.0) for _ in range(60)]
+    told = [book.take_updates(3.0) for _ in range(60)]
     assert max(map(len, told)) <= quarantine.CRASHES_A_MESSAGE
     assert sum(map(len, told)) == 1000 * quarantine.REPEATS
-    assert book.take_news(3.0) == []
+    assert book.take_updates(3.0) == []
 
 
 def test_what_was_heard_is_not_told_again():
     book = Quarantine()
     book.hear(Crash.of(WORK, "a"), 0.0, 1.0)
-    assert book.take_news(10.0) == []
+    assert book.take_updates(10.0) == []
 
 
 @pytest.mark.parametrize("bound, count", [("SUSPECTS_KEPT", 5), ("SERVED_KEPT", 5)])
@@ -315,7 +315,7 @@
     cut_off, peer = keeper(away), keeper(store)
     crashed("a", "b")(cut_off.book, 1.0)
     failed(cut_off.book, 1.0)
-    for crash in cut_off.book.take_news(1.1):
+    for crash in cut_off.book.take_updates(1.1):
         peer.book.hear(crash, 0.0, 1.1)
     crashed("c")(peer.book, 1.2)
     assert peer.book.holds(WORK, 1.2)
