--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -117,7 +117,7 @@
             samples=len(pool.speed.samples),
         )
 
-    def news(self, now, peers=frozenset()):
+    def pool_updates(self, now, peers=frozenset()):
         """Return a :class:`PoolUpdate` of each service.
 
         :param peers: names of the peers whose demand is added to this VM's.
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -194,7 +194,7 @@
         reads = self.estimates.cache.take_updates()
         self._note_reads(reads)
         tell_pools = self.messages % MESSAGES_A_POOL_REPORT == 0
-        pools = self.estimates.news(now) if tell_pools else []
+        pools = self.estimates.pool_updates(now) if tell_pools else []
         samples = self.estimates.take_samples()
         crashes = self.quarantine.take_updates(now) if self.quarantine else []
         news = PeerUpdate(self.name, report, "", reads, pools, samples, crashes, limits)
@@ -207,7 +207,7 @@
         reads, self.near_reads = self.near_reads, {}
         pools = []
         if self.estimates is not None:
-            pools = self.estimates.news(now, self.groups.direct().keys())
+            pools = self.estimates.pool_updates(now, self.groups.direct().keys())
         self.sums += 1
         news = PeerUpdate(
             self.name,
