--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -153,7 +153,7 @@
         everything = number % MESSAGES_A_POOL_REPORT == 0
         return [
             LimitUpdate(limit.instance, limit.rate, now - limit.observed_at)
-            for limit in self.limits.news(now, everything)
+            for limit in self.limits.updates(now, everything)
         ]
 
     def _note_reads(self, reads):
--- a/src/mulberrydock/rate_limits.py
+++ b/src/mulberrydock/rate_limits.py
@@ -210,7 +210,7 @@
             self.senders[limit.instance] = chosen
         return chosen
 
-    def news(self, now, everything):
+    def updates(self, now, everything):
         """Return the :class:`RateLimit` to tell the peers.
 
         :param everything: whether to tell all of them, not only what changed lately.
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -196,7 +196,7 @@
     gone.add("e1")
     limits.forget("e1")
     limits.hear("e1", 2.0, 0.5, 1.0)
-    assert limits.news(1.0, True) == []
+    assert limits.updates(1.0, True) == []
 
 
 # Guards against an instance that is never used again, as its bucket went on paying for
