--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -36,7 +36,7 @@
 
 
 class PrefixCacheIndex:
-    """Parts by engine; ``news`` are this VM's own since its last message.
+    """Parts by engine; ``updates`` are this VM's own since its last message.
 
     A part counts as kept once its prompt was read. Counted from the moment it is
     sent, prompts whose clients leave before would count as well: the more of them
@@ -45,13 +45,13 @@
 
     def __init__(self):
         self.engines = {}
-        self.news = {}
+        self.updates = {}
 
     def record_prefill(self, instance_id, prompt, capacity):
         """An engine has read or fetched a prompt for this VM."""
         rows = [(part_key(part.id), part.tokens) for part in prompt.parts]
         self.hear(instance_id, rows, capacity)
-        self.news.setdefault(instance_id, []).extend(rows)
+        self.updates.setdefault(instance_id, []).extend(rows)
 
     def hear(self, instance_id, rows, capacity):
         """Take (key, tokens) rows of parts that an engine read, in order.
@@ -68,13 +68,13 @@
 
     def take_updates(self):
         """Return what peers haven't been told yet."""
-        news, self.news = self.news, {}
-        return news
+        updates, self.updates = self.updates, {}
+        return updates
 
     def forget(self, instance_id):
         """An incarnation is over, its memory with it."""
         self.engines.pop(instance_id, None)
-        self.news.pop(instance_id, None)
+        self.updates.pop(instance_id, None)
 
     def cached(self, instance_id, prompt):
         """Return the tokens of ``prompt`` that needn't be read at an engine.
