--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -129,7 +129,7 @@
             rows.append(PoolUpdate(service, pool.demand.total(now, peers), cost))
         return rows
 
-    def hear_news(self, peer, rows, now):
+    def apply_pool_updates(self, peer, rows, now):
         """Take a peer's :class:`PoolUpdate`."""
         for row in rows:
             pool = self.pool(row.service)
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -130,7 +130,7 @@
             return
         for instance, rows in news.reads.items():
             self.estimates.hear_reads(instance, rows)
-        self.estimates.hear_news(source, news.pools, now)
+        self.estimates.apply_pool_updates(source, news.pools, now)
         self.estimates.hear_samples(news.samples, now)
 
     def _hear_crashes(self, crashes, now):
