--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -137,6 +137,6 @@
             if row.cost is not None:
                 pool.speed.hear(peer, row.cost)
 
-    def hear_reads(self, instance_id, rows):
+    def apply_prefills(self, instance_id, rows):
         """Take the parts that an engine read for a peer."""
         self.cache.hear(instance_id, rows, self.capacity(instance_id))
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -129,7 +129,7 @@
         if self.estimates is None:
             return
         for instance, rows in news.reads.items():
-            self.estimates.hear_reads(instance, rows)
+            self.estimates.apply_prefills(instance, rows)
         self.estimates.apply_pool_updates(source, news.pools, now)
         self.estimates.hear_samples(news.samples, now)
 
