--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -90,14 +90,14 @@
         """An engine read a prompt for this VM; its peers learn from it as well:
         alone, each of them would see too few to tell an engine's speed."""
         self.samples.append(sample)
-        self.hear_samples([sample], now)
+        self.apply_samples([sample], now)
 
     def take_samples(self):
         """Return the :class:`PrefillSample` that peers haven't been told yet."""
         samples, self.samples = self.samples, []
         return samples
 
-    def hear_samples(self, samples, now):
+    def apply_samples(self, samples, now):
         """Take samples of this VM or of a peer."""
         for row in samples:
             pool = self.pool(row.service)
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -131,7 +131,7 @@
         for instance, rows in news.reads.items():
             self.estimates.apply_prefills(instance, rows)
         self.estimates.apply_pool_updates(source, news.pools, now)
-        self.estimates.hear_samples(news.samples, now)
+        self.estimates.apply_samples(news.samples, now)
 
     def _hear_crashes(self, crashes, now):
         if self.quarantine is None:
