--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -147,7 +147,7 @@
             quarantined=self.holds(work, now),
         )
 
-    def hear(self, crash, spread, now):
+    def apply_peer_crash(self, crash, spread, now):
         """A peer saw a crash.
 
         :param spread: a number from 0 to 1, another one at each VM.
@@ -249,7 +249,7 @@
             if lacking:
                 self._forget(crash)
             if self.copy_old and lacking:
-                self.hear(crash, spread, now)
+                self.apply_peer_crash(crash, spread, now)
             elif self.copy_old and self._served(crash.work, now):
                 self._forget(crash)
                 self.removals.add(crash)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -35,7 +35,9 @@
 
 
 def heard(*instances):
-    return lambda book, now: [book.hear(Crash.of(WORK, i), 0.5, now) for i in instances]
+    return lambda book, now: [
+        book.apply_peer_crash(Crash.of(WORK, i), 0.5, now) for i in instances
+    ]
 
 
 def read(*instances):
@@ -181,7 +183,7 @@
 
 def test_what_was_heard_is_not_told_again():
     book = Quarantine()
-    book.hear(Crash.of(WORK, "a"), 0.0, 1.0)
+    book.apply_peer_crash(Crash.of(WORK, "a"), 0.0, 1.0)
     assert book.take_updates(10.0) == []
 
 
@@ -316,7 +318,7 @@
     crashed("a", "b")(cut_off.book, 1.0)
     failed(cut_off.book, 1.0)
     for crash in cut_off.book.take_updates(1.1):
-        peer.book.hear(crash, 0.0, 1.1)
+        peer.book.apply_peer_crash(crash, 0.0, 1.1)
     crashed("c")(peer.book, 1.2)
     assert peer.book.holds(WORK, 1.2)
     assert step(peer, 1.1 + HEARD_SECONDS)
