--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -138,7 +138,7 @@
             return
         for crash in crashes:
             spread = rank(crash.work, self.name)[0] / 256
-            self.quarantine.hear(crash, spread, now)
+            self.quarantine.apply_peer_crash(crash, spread, now)
 
     def _hear_limits(self, limits, now):
         if self.limits is None:
