--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -75,7 +75,7 @@
         """Return the :class:`Demand` that this VM's clients make."""
         return Demand(*(rate.read(now) for rate in self.rates))
 
-    def hear(self, peer, demand, now):
+    def apply_update(self, peer, demand, now):
         """A peer tells what its clients ask."""
         self.peers[peer] = (demand, now)
 
--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -133,10 +133,10 @@
         """Take a peer's :class:`PoolUpdate`."""
         for row in rows:
             pool = self.pool(row.service)
-            pool.demand.hear(peer, row.demand, now)
+            pool.demand.apply_update(peer, row.demand, now)
             if row.cost is not None:
-                pool.speed.hear(peer, row.cost)
+                pool.speed.apply_update(peer, row.cost)
 
     def apply_prefills(self, instance_id, rows):
         """Take the parts that an engine read for a peer."""
-        self.cache.hear(instance_id, rows, self.capacity(instance_id))
+        self.cache.apply_update(instance_id, rows, self.capacity(instance_id))
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -144,7 +144,7 @@
         if self.limits is None:
             return
         for limit in limits:
-            self.limits.hear(limit.instance, limit.rate, now - limit.age, now)
+            self.limits.apply_update(limit.instance, limit.rate, now - limit.age, now)
 
     def _limit_news(self, now, number):
         """Return the :class:`LimitUpdate` of the message of that number."""
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -120,7 +120,7 @@
             self.cost = self._fit()
             self.fitted_at = now
 
-    def hear(self, peer, cost):
+    def apply_update(self, peer, cost):
         """A peer tells what it fitted."""
         if not all(map(math.isfinite, attrs.astuple(cost))):
             return
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -50,10 +50,10 @@
     def record_prefill(self, instance_id, prompt, capacity):
         """An engine has read or fetched a prompt for this VM."""
         rows = [(part_key(part.id), part.tokens) for part in prompt.parts]
-        self.hear(instance_id, rows, capacity)
+        self.apply_update(instance_id, rows, capacity)
         self.updates.setdefault(instance_id, []).extend(rows)
 
-    def hear(self, instance_id, rows, capacity):
+    def apply_update(self, instance_id, rows, capacity):
         """Take (key, tokens) rows of parts that an engine read, in order.
 
         :param capacity: tokens of the engine's memory, 0 when the engine isn't
--- a/src/mulberrydock/rate_limits.py
+++ b/src/mulberrydock/rate_limits.py
@@ -137,7 +137,7 @@
             if known.rate is None or known.clear_answers >= CLEAR_ANSWERS:
                 self._set(instance, None, now, now)
 
-    def hear(self, instance, rate, observed_at, now):
+    def apply_update(self, instance, rate, observed_at, now):
         """Another VM tells what an instance declared.
 
         :param rate: as in :meth:`observe`.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -179,7 +179,7 @@
                 continue
             peer.loads.receive(vm.name, report)
             for engine, rows in news.items():
-                peer.cache.hear(engine, rows, self.memory)
+                peer.cache.apply_update(engine, rows, self.memory)
         self.at(self.now + self.news_seconds, lambda: self.tell(vm))
 
     def known_to(self, vm):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -34,7 +34,7 @@
     """Two VMs see half of the clients each; then one of them dies. Its part
     counts for a moment and is gone then, as its clients come to the other."""
     meter = DemandMeter()
-    meter.hear("entry-2", Demand(500.0, 600.0, 5.0), 10.0)
+    meter.apply_update("entry-2", Demand(500.0, 600.0, 5.0), 10.0)
     assert meter.total(10.0 + PEER_SECONDS).streams == 5.0
     assert meter.total(10.1 + PEER_SECONDS).streams == 0.0
     assert DemandMeter().total(5.0) == Demand()
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -77,7 +77,7 @@
     estimates as its peers do, and one peer that is far off doesn't matter."""
     speed = PrefillCostModel()
     for peer, token in (("a", 2e-5), ("b", 2.1e-5), ("c", 9e-4)):
-        speed.hear(peer, PrefillCost(0.01, token, token * 2e-5))
+        speed.apply_update(peer, PrefillCost(0.01, token, token * 2e-5))
     assert speed.cost.token == pytest.approx(2.1e-5)
 
 
@@ -89,7 +89,7 @@
     first own sample is fitted beside it; an error there would end the request
     whose prompt was just read without an answer."""
     speed = PrefillCostModel()
-    speed.hear("a", PrefillCost(*told))
+    speed.apply_update("a", PrefillCost(*told))
     for number in range(40):
         speed.note(3000, 500, 0.07, number * 0.1)
     assert seconds(speed.cost, 3000, 500) == pytest.approx(0.07, rel=0.5)
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -95,7 +95,7 @@
     """Engines come and go for days, and a peer's late message names one that is
     over. It isn't noted, or the book would grow with every engine there ever was."""
     book = PrefixCacheIndex()
-    book.hear("gone@1", [(1, 10), (2, 20)], 0)
+    book.apply_update("gone@1", [(1, 10), (2, 20)], 0)
     assert book.engines == {}
 
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -195,7 +195,7 @@
     limits.observe("e1", 2.0, 0.0, 0.0)
     gone.add("e1")
     limits.forget("e1")
-    limits.hear("e1", 2.0, 0.5, 1.0)
+    limits.apply_update("e1", 2.0, 0.5, 1.0)
     assert limits.updates(1.0, True) == []
 
 
