--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -28,7 +28,7 @@
     stream_seconds: float | None = None
     logged_token_seconds: float = 0.0
 
-    def note_stream(self, seconds):
+    def record_stream(self, seconds):
         """A stream ended whole, ``seconds`` after its first event."""
         if self.stream_seconds is None:
             self.stream_seconds = seconds
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -256,7 +256,7 @@
         if not self.stream.begun:
             return
         knowledge = self.fleet.estimates.pool(self.service)
-        knowledge.note_stream(now - self.stream.begun_at)
+        knowledge.record_stream(now - self.stream.begun_at)
         metrics = self.relay.metrics
         metrics.token_seconds.labels(self.service).set(knowledge.speed.cost.token)
         if plan.wait > 0:
