--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -77,7 +77,7 @@
         """An engine read a prompt, or fetched what another one had read."""
         self.cache.record_prefill(instance_id, prompt, self.capacity(instance_id))
 
-    def note_demand(self, service, prompt, work, short, now):
+    def record_demand(self, service, prompt, work, short, now):
         """A client asks for a prompt's completion, whether it is served or not.
 
         :param work: that of reading it, in tokens without context.
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -190,7 +190,7 @@
         )
         return target and attrs.evolve(plan, target=target)
 
-    def note_demand(self, prompt, route, service, now):
+    def record_demand(self, prompt, route, service, now):
         """A client asks for a prompt's completion, whether it is served or not."""
         engines = self.instances.serving(service)
         cached = max(
@@ -199,7 +199,7 @@
         cost = self.estimates.pool(service).speed.cost
         work = cost.work(prompt.tokens - cached, cached)
         short = is_short(cost.seconds(work), route.latency_objective)
-        self.estimates.note_demand(service, prompt, work, short, now)
+        self.estimates.record_demand(service, prompt, work, short, now)
 
     def stage_needs(self, spec, now):
         """Return the :class:`StageNeeds` of a pool, from the demand of all VMs,
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -95,7 +95,7 @@
         """Answer the request; return the :class:`ResultCode` of the outcome."""
         self.fleet.budget(self.service).note_request(self.request.arrived)
         if self.request.prompt.tokens:
-            self.fleet.note_demand(
+            self.fleet.record_demand(
                 self.request.prompt, self.route, self.service, self.request.arrived
             )
         loop = asyncio.get_running_loop()
