--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -86,7 +86,7 @@
         demand = Demand(work, prompt.tokens, 1.0, short=work if short else 0.0)
         self.pool(service).demand.note(demand, now)
 
-    def note_sample(self, sample, now):
+    def record_sample(self, sample, now):
         """An engine read a prompt for this VM; its peers learn from it as well:
         alone, each of them would see too few to tell an engine's speed."""
         self.samples.append(sample)
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -141,4 +141,4 @@
             return
         tokens = self.request.prompt.tokens - plan.cached
         sample = PrefillSample(self.service, tokens, plan.cached, seconds)
-        self.fleet.estimates.note_sample(sample, now)
+        self.fleet.estimates.record_sample(sample, now)
