--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -361,7 +361,7 @@
         streamed = not isinstance(self.sink, PassThroughSink)
         answer = _Answer(self, streamed)
         first = self.events == 0
-        engine.note_sent(self.work, now)
+        engine.record_send(self.work, now)
         engine.in_flight += 1
         try:
             await self._exchange(engine, answer, source, estimate, streamed)
@@ -425,7 +425,7 @@
         estimate = engine.wait_seconds(self.work, now, router.policy.entries)
         idle = self.daemon.settings.deployment.stream_idle_timeout_seconds
         chunks = []
-        engine.note_sent(self.work, now)
+        engine.record_send(self.work, now)
         engine.in_flight += 1
         try:
             exchange = await upstream.exchange(
--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -116,7 +116,7 @@
         self.data_centre = fresh.data_centre
         self.model = fresh.model
 
-    def note_sent(self, work, now):
+    def record_send(self, work, now):
         """Remember ``work`` sent at ``now``, until a report includes it."""
         self.sent.append((now, work))
         self.send_rate.add(work, now)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -55,7 +55,7 @@
 def test_wait_estimate(report, work, now, sent, expected):
     engine = _engine("e", **report)
     for _ in range(sent):
-        engine.note_sent(work, 0.05)
+        engine.record_send(work, 0.05)
     assert engine.wait_seconds(work, now, entries=2) == pytest.approx(expected)
 
 
