--- a/src/mulberrydock/admission.py
+++ b/src/mulberrydock/admission.py
@@ -86,7 +86,7 @@
         self.requests = collections.deque()
         self.retries = collections.deque()
 
-    def note_request(self, now):
+    def record_request(self, now):
         """Count a first attempt at ``now``."""
         self.requests.append(now)
         self._forget(now)
--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -297,7 +297,7 @@
         return code
 
     async def _attempts(self):
-        self.daemon.retry_budget.note_request(self.arrived)
+        self.daemon.retry_budget.record_request(self.arrived)
         cause = "no engine could take the request"
         quarantined = False
         for attempt in range(MAX_ATTEMPTS):
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -93,7 +93,7 @@
 
     async def run(self):
         """Answer the request; return the :class:`ResultCode` of the outcome."""
-        self.fleet.budget(self.service).note_request(self.request.arrived)
+        self.fleet.budget(self.service).record_request(self.request.arrived)
         if self.request.prompt.tokens:
             self.fleet.record_demand(
                 self.request.prompt, self.route, self.service, self.request.arrived
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -59,7 +59,7 @@
     and begin again when the window has moved on."""
     budget = RetryBudget(ratio=0.2, window_seconds=10, floor=4)
     for _ in range(requests):
-        budget.note_request(0.0)
+        budget.record_request(0.0)
     sent = 0
     while budget.allow(1.0, count):
         sent += count
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -196,7 +196,7 @@
 def test_retry_budget(requests, allowed):
     budget = RetryBudget()
     for _ in range(requests):
-        budget.note_request(1.0)
+        budget.record_request(1.0)
     assert sum(budget.allow(2.0) for _ in range(2000)) == allowed
     assert budget.allow(12.5)
 
