--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -94,7 +94,7 @@
                 return
             settle = await self.order(change, needs, now)
             if settle:
-                planner.note_order(change, settle, time.monotonic())
+                planner.record_order(change, settle, time.monotonic())
             if settle != stages.ORDER_SETTLE_SECONDS:
                 # It wasn't accepted: what is known may be old, look again.
                 return
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -190,7 +190,7 @@
     known: set = attrs.field(factory=set)
     ordered: dict = attrs.field(factory=dict)
 
-    def note_order(self, change, settle, now):
+    def record_order(self, change, settle, now):
         """An order was sent: leave the pool alone until it is over.
 
         An earlier order to that engine which wasn't answered stays unsettled
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -207,7 +207,7 @@
     engines = pool(D, D, D, D)
     planner.decide(engines, False, {}, CALM, 0.0)
     change = planner.decide(engines, False, {}, CALM, MISSING_SECONDS)
-    planner.note_order(change, ORDER_SETTLE_SECONDS, MISSING_SECONDS)
+    planner.record_order(change, ORDER_SETTLE_SECONDS, MISSING_SECONDS)
     after = MISSING_SECONDS + 1
     assert planner.decide(engines, False, {}, CALM, after) is None
     engines = pool(P, P)
@@ -229,7 +229,7 @@
     for _ in range(count):
         change = planner.decide(engines, False, {}, HEAVY, FEW_PREFILLS_SECONDS)
         if change is not None:
-            planner.note_order(change, ORDER_SETTLE_SECONDS, FEW_PREFILLS_SECONDS)
+            planner.record_order(change, ORDER_SETTLE_SECONDS, FEW_PREFILLS_SECONDS)
             ordered += 1
     assert ordered == at_once
 
@@ -271,12 +271,12 @@
     now = MISSING_SECONDS
     planner.decide(engines, False, {}, CALM, 0.0)
     first = planner.decide(engines, False, {}, CALM, now)
-    planner.note_order(first, UNANSWERED_SETTLE_SECONDS, now)
+    planner.record_order(first, UNANSWERED_SETTLE_SECONDS, now)
     half = now + REPEAT_SECONDS / 2
     assert planner.decide(engines, False, {}, CALM, half) is None
     now += REPEAT_SECONDS
     again = planner.decide(engines, False, {}, CALM, now)
     assert again == first
-    planner.note_order(again, second, now)
+    planner.record_order(again, second, now)
     change = planner.decide(engines, False, {}, CALM, now + REPEAT_SECONDS)
     assert (change and change.instance.id) == third
