--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -45,7 +45,7 @@
         accepts = await pool.accepts(time.monotonic())
         pool.close()
         if accepts is False:
-            self.book.note_crash(work, f"{upstream.name}/{call}", time.monotonic())
+            self.book.record_crash(work, f"{upstream.name}/{call}", time.monotonic())
 
     def ended(self, work, served):
         """The request for ``work`` is over; ``served`` when it was answered."""
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -132,9 +132,9 @@
         crashed under."""
         for work, cut_at in self.cuts.pop(incarnation, {}).items():
             if now - cut_at <= CUT_SECONDS:
-                self.note_crash(work, incarnation, now)
+                self.record_crash(work, incarnation, now)
 
-    def note_crash(self, work, incarnation, now):
+    def record_crash(self, work, incarnation, now):
         """This VM saw an instance crash under ``work``."""
         if self._served(work, now):
             return
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -128,7 +128,7 @@
         now = time.monotonic()
         book, work = self.fleet.quarantine, request.fingerprint
         if crashed:
-            book.note_crash(work, instance.id, now)
+            book.record_crash(work, instance.id, now)
         elif crashed is None:
             book.note_cut(work, instance.id, now)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -31,7 +31,7 @@
 
 
 def crashed(*instances, work=WORK):
-    return lambda book, now: [book.note_crash(work, i, now) for i in instances]
+    return lambda book, now: [book.record_crash(work, i, now) for i in instances]
 
 
 def heard(*instances):
@@ -162,7 +162,7 @@
 
 def test_peers_are_told_often_enough_for_a_lost_message():
     book = Quarantine()
-    book.note_crash(WORK, "a", 1.0)
+    book.record_crash(WORK, "a", 1.0)
     assert book.take_updates(1.0) == []
     told = [book.take_updates(3.0) for _ in range(10)]
     assert told.count([Crash.of(WORK, "a")]) == quarantine.REPEATS
@@ -174,7 +174,7 @@
     would be more than a datagram bears, and the send would fail, each time."""
     book = Quarantine()
     for number in range(1000):
-        book.note_crash(f"w{number}", "a", 1.0)
+        book.record_crash(f"w{number}", "a", 1.0)
     told = [book.take_updates(3.0) for _ in range(60)]
     assert max(map(len, told)) <= quarantine.CRASHES_A_MESSAGE
     assert sum(map(len, told)) == 1000 * quarantine.REPEATS
@@ -192,7 +192,7 @@
     monkeypatch.setattr(quarantine, bound, count)
     book = Quarantine()
     for number in range(20):
-        book.note_crash(f"w{number}", "a", 1.0)
+        book.record_crash(f"w{number}", "a", 1.0)
         book.note_end(f"s{number}", True, 1.0)
     assert len(book.unwritten if bound == "SUSPECTS_KEPT" else book.served) == count
 
@@ -289,7 +289,7 @@
     store = Store()
     for instance in ("a", "b", "c"):
         vm = keeper(store)
-        vm.book.note_crash(WORK, instance, 1.0)
+        vm.book.record_crash(WORK, instance, 1.0)
         assert step(vm, 3.0)
     assert load(store).book.holds(WORK, 5.0)
 
