--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -120,7 +120,7 @@
     def _served(self, work, now):
         return now - self.served.get(work, -SERVED_SECONDS) < SERVED_SECONDS
 
-    def note_cut(self, work, incarnation, now):
+    def record_cut(self, work, incarnation, now):
         """The connection to an instance ended under ``work``, for unknown reason."""
         cuts = self.cuts.get(incarnation, {})
         # Those of an instance that lives on would fill the memory.
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -130,7 +130,7 @@
         if crashed:
             book.record_crash(work, instance.id, now)
         elif crashed is None:
-            book.note_cut(work, instance.id, now)
+            book.record_cut(work, instance.id, now)
 
     def release(self, engine, handle):
         """Free a handle that no run took, apart from its request."""
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -353,7 +353,7 @@
         if isinstance(error, ConnectionCut):
             await self.relay.examine(self.request, instance)
         else:
-            self.fleet.quarantine.note_cut(
+            self.fleet.quarantine.record_cut(
                 self.request.fingerprint, instance.id, time.monotonic()
             )
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -53,7 +53,7 @@
 
 
 def cut(*instances):
-    return lambda book, now: [book.note_cut(WORK, i, now) for i in instances]
+    return lambda book, now: [book.record_cut(WORK, i, now) for i in instances]
 
 
 def gone(*instances):
@@ -200,7 +200,7 @@
 def test_cuts_of_an_instance_that_lives_on_are_forgotten():
     book = Quarantine()
     for second in range(1000):
-        book.note_cut(f"w{second}", "a", float(second))
+        book.record_cut(f"w{second}", "a", float(second))
     assert len(book.cuts["a"]) <= quarantine.CUT_SECONDS + 1
 
 
