--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -127,7 +127,7 @@
         cuts = {other: at for other, at in cuts.items() if now - at <= CUT_SECONDS}
         self.cuts[incarnation] = cuts | {work: now}
 
-    def note_gone(self, incarnation, now):
+    def record_termination(self, incarnation, now):
         """An incarnation is over: what it was cut off from shortly before, it
         crashed under."""
         for work, cut_at in self.cuts.pop(incarnation, {}).items():
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -180,7 +180,7 @@
     def _on_gone(self, instance_id):
         self.relay.forget(instance_id)
         self.fleet.forget(instance_id)
-        self.fleet.quarantine.note_gone(instance_id, time.monotonic())
+        self.fleet.quarantine.record_termination(instance_id, time.monotonic())
 
     def _on_config(self, key, value, revision):
         if value is None:
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -61,7 +61,7 @@
     asyncio.run(relay.examine(request(), instance))
     book = relay.fleet.quarantine
     if gone_later:
-        book.note_gone(instance.id, time.monotonic())
+        book.record_termination(instance.id, time.monotonic())
     assert book.count(work) == crashes
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -57,7 +57,7 @@
 
 
 def gone(*instances):
-    return lambda book, now: [book.note_gone(i, now) for i in instances]
+    return lambda book, now: [book.record_termination(i, now) for i in instances]
 
 
 def served(work=WORK):
