--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -49,4 +49,4 @@
 
     def ended(self, work, served):
         """The request for ``work`` is over; ``served`` when it was answered."""
-        self.book.note_end(work, served, time.monotonic())
+        self.book.record_request_end(work, served, time.monotonic())
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -164,7 +164,7 @@
         while len(self.unwritten) > SUSPECTS_KEPT:
             self.unwritten.popitem(last=False)
 
-    def note_end(self, work, served, now):
+    def record_request_end(self, work, served, now):
         """A request for ``work`` is over; ``served`` when an instance answered it.
 
         Work that was served crashes nobody. Of other work, what was seen is told now.
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -70,7 +70,7 @@
             logger.info("client left", **self._summary(serving))
             raise
         finally:
-            self.fleet.quarantine.note_end(
+            self.fleet.quarantine.record_request_end(
                 request.fingerprint, serving.served, time.monotonic()
             )
         self._log_end(serving, code)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -61,11 +61,11 @@
 
 
 def served(work=WORK):
-    return lambda book, now: book.note_end(work, True, now)
+    return lambda book, now: book.record_request_end(work, True, now)
 
 
 def failed(book, now):
-    book.note_end(WORK, False, now)
+    book.record_request_end(WORK, False, now)
 
 
 def full_read(*instances):
@@ -193,7 +193,7 @@
     book = Quarantine()
     for number in range(20):
         book.record_crash(f"w{number}", "a", 1.0)
-        book.note_end(f"s{number}", True, 1.0)
+        book.record_request_end(f"s{number}", True, 1.0)
     assert len(book.unwritten if bound == "SUSPECTS_KEPT" else book.served) == count
 
 
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -213,7 +213,7 @@
     for crash in crashes:
         book.apply(crash.key, 1000.0)
     if served:
-        book.note_end("w", True, now)
+        book.record_request_end("w", True, now)
         assert book.removals == set(crashes)
         book.removals.clear()
     book.copy_restored()
