--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -24,7 +24,7 @@
         self.value = 0.0
         self.at = None
 
-    def note(self, amount, now):
+    def record(self, amount, now):
         """``amount`` was asked at ``now``."""
         self.value = self.read(now) + amount / AVERAGE_SECONDS
         self.at = now
@@ -66,10 +66,10 @@
         self.rates = [Rate() for _ in attrs.fields(Demand)]
         self.peers = {}
 
-    def note(self, demand, now):
+    def record(self, demand, now):
         """One request asks for ``demand``."""
         for rate, amount in zip(self.rates, attrs.astuple(demand)):
-            rate.note(amount, now)
+            rate.record(amount, now)
 
     def own(self, now):
         """Return the :class:`Demand` that this VM's clients make."""
--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -84,7 +84,7 @@
         :param short: True when a decode engine could read it as well.
         """
         demand = Demand(work, prompt.tokens, 1.0, short=work if short else 0.0)
-        self.pool(service).demand.note(demand, now)
+        self.pool(service).demand.record(demand, now)
 
     def record_sample(self, sample, now):
         """An engine read a prompt for this VM; its peers learn from it as well:
@@ -101,7 +101,7 @@
         """Take samples of this VM or of a peer."""
         for row in samples:
             pool = self.pool(row.service)
-            pool.speed.note(row.tokens, row.cached, row.seconds, now)
+            pool.speed.record(row.tokens, row.cached, row.seconds, now)
             self._log_change(row.service, pool)
 
     def _log_change(self, service, pool):
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -104,7 +104,7 @@
         self.cost = PrefillCost()
         self.fitted_at = 0.0
 
-    def note(self, tokens, cached, seconds, now):
+    def record(self, tokens, cached, seconds, now):
         """A prompt was read that had nothing before it in the queue.
 
         :param tokens: those that were read; ``cached`` the ones before them.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -210,7 +210,7 @@
             job.refused = True
             return
         apart = job.plan.tokens if job.plan.prefill else 0.0
-        self.demand.note(Demand(streams=1.0, apart=apart), self.now)
+        self.demand.record(Demand(streams=1.0, apart=apart), self.now)
         reader = job.plan.prefill or job.plan.target
         job.work = vm.loads.begin(reader.id, job.plan.tokens, job.plan.urgency)
         self.engines[reader.id].take(job, self.now)
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -8,7 +8,7 @@
 def steady(meter, rate, begin, seconds):
     """Let ``rate`` requests a second arrive, each of 1,000 tokens."""
     for number in range(int(rate * seconds)):
-        meter.note(Demand(1000.0, 1200.0, 1.0), begin + number / rate)
+        meter.record(Demand(1000.0, 1200.0, 1.0), begin + number / rate)
 
 
 def test_steady_demand_is_measured():
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -38,7 +38,7 @@
         took = seconds(truth, tokens, cached)
         if rng.random() < unseen_waits:
             took += rng.expovariate(1 / (8000 * token_seconds))
-        speed.note(tokens, cached, took, number * 0.1)
+        speed.record(tokens, cached, took, number * 0.1)
     for tokens, cached in ((1500, 300), (4000, 13_000), (30_000, 0)):
         found = seconds(speed.cost, tokens, cached)
         assert found == pytest.approx(seconds(truth, tokens, cached), rel=0.4)
@@ -51,10 +51,10 @@
     speed = PrefillCostModel()
     for number, (tokens, cached) in enumerate(prompts(rng, 40)):
         cost = PrefillCost(0.01, 1e-5, 2e-10)
-        speed.note(tokens, cached, seconds(cost, tokens, cached), number * 0.1)
+        speed.record(tokens, cached, seconds(cost, tokens, cached), number * 0.1)
     slow = PrefillCost(0.01, 3e-5, 6e-10)
     for number, (tokens, cached) in enumerate(prompts(rng, SAMPLES_KEPT // 2)):
-        speed.note(tokens, cached, seconds(slow, tokens, cached), 60 + number * 0.1)
+        speed.record(tokens, cached, seconds(slow, tokens, cached), 60 + number * 0.1)
     assert speed.cost.token == pytest.approx(slow.token, rel=0.2)
 
 
@@ -66,7 +66,7 @@
     within what an engine can be."""
     speed = PrefillCostModel()
     for number in range(SAMPLES_KEPT):
-        speed.note(tokens, 0, took, number * 0.1)
+        speed.record(tokens, 0, took, number * 0.1)
     low, high = TOKEN_SECONDS_BOUNDS
     assert low <= speed.cost.token <= high
     assert speed.cost.overhead >= 0 and speed.cost.pair >= 0
@@ -91,7 +91,7 @@
     speed = PrefillCostModel()
     speed.apply_update("a", PrefillCost(*told))
     for number in range(40):
-        speed.note(3000, 500, 0.07, number * 0.1)
+        speed.record(3000, 500, 0.07, number * 0.1)
     assert seconds(speed.cost, 3000, 500) == pytest.approx(0.07, rel=0.5)
 
 
@@ -100,6 +100,6 @@
     of the other."""
     estimates = FleetEstimates(lambda instance_id: 1000)
     for number in range(20):
-        estimates.pool("large").speed.note(5000, 0, 0.5, number * 0.1)
+        estimates.pool("large").speed.record(5000, 0, 0.5, number * 0.1)
     assert estimates.pool("small").speed.cost == PrefillCost()
     assert estimates.pool("large").speed.cost.token > PrefillCost().token
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -134,7 +134,7 @@
     rng = random.Random(1)
     for number in range(40):
         tokens = rng.randrange(500, 9000)
-        here.pool("llm").speed.note(tokens, 0, 0.01 + tokens * 4e-5, number * 0.1)
+        here.pool("llm").speed.record(tokens, 0, 0.01 + tokens * 4e-5, number * 0.1)
     here.record_demand("llm", about("doc1"), 5000, False, 4.0)
     for number in range(5):
         peer.datagram_received(link.message(4.0), ("127.0.0.1", 1))
