--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -194,7 +194,8 @@
         """A client asks for a prompt's completion, whether it is served or not."""
         engines = self.instances.serving(service)
         cached = max(
-            (self.estimates.cache.cached(e.id, prompt) for e in engines), default=0
+            (self.estimates.cache.cached_tokens(e.id, prompt) for e in engines),
+            default=0,
         )
         cost = self.estimates.pool(service).speed.cost
         work = cost.work(prompt.tokens - cached, cached)
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -199,7 +199,7 @@
         :param busy: utilization of their stage.
         :param share: speed of these engines against a prefill engine's.
         """
-        kept = {i.id: pool.cache.cached(i.id, prompt) for i in instances}
+        kept = {i.id: pool.cache.cached_tokens(i.id, prompt) for i in instances}
         holder = self._document_owner(prompt, kept, instances)
         weight = WORK_WEIGHT * min(busy, MOST_UTILIZATION) ** 2
         rows = []
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -76,7 +76,7 @@
         self.engines.pop(instance_id, None)
         self.updates.pop(instance_id, None)
 
-    def cached(self, instance_id, prompt):
+    def cached_tokens(self, instance_id, prompt):
         """Return the tokens of ``prompt`` that needn't be read at an engine.
 
         A part is of use only if all parts before it are kept as well.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -83,7 +83,7 @@
             _, _, job = heapq.heappop(self.queue)
             if job.left:
                 continue
-            cached = self.kept.cached("here", job.prompt)
+            cached = self.kept.cached_tokens("here", job.prompt)
             tokens = job.prompt.tokens - cached
             seconds = self.pool.cost.seconds(self.pool.cost.work(tokens, cached))
             self.busy = True
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -57,8 +57,8 @@
     beginning need only the rest read there, and all of it elsewhere."""
     book = PrefixCacheIndex()
     book.record_prefill("e1", about("doc1"), CAPACITY)
-    assert book.cached("e1", asked) == cached
-    assert book.cached("e2", asked) == 0
+    assert book.cached_tokens("e1", asked) == cached
+    assert book.cached_tokens("e2", asked) == 0
 
 
 def test_parts_used_longest_ago_are_forgotten():
@@ -67,7 +67,9 @@
     book = PrefixCacheIndex()
     for number in range(200):
         book.record_prefill("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
-    kept = [n for n in range(200) if book.cached("e1", about(f"doc{n}", "x")) > 2000]
+    kept = [
+        n for n in range(200) if book.cached_tokens("e1", about(f"doc{n}", "x")) > 2000
+    ]
     assert kept == list(range(200 - len(kept), 200))
     assert book.engines["e1"].tokens <= CAPACITY * KEPT_SHARE
     assert len(book.engines["e1"].parts) < 30
@@ -79,7 +81,7 @@
     for number in range(100):
         book.record_prefill("e1", about("hot", f"a{number}"), CAPACITY)
         book.record_prefill("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
-    assert book.cached("e1", about("hot", "x")) == 10_000
+    assert book.cached_tokens("e1", about("hot", "x")) == 10_000
 
 
 def test_prompt_larger_than_the_memory():
@@ -104,7 +106,7 @@
     book = PrefixCacheIndex()
     book.record_prefill("e1", about("doc1"), CAPACITY)
     book.forget("e1")
-    assert book.cached("e1", about("doc1")) == 0
+    assert book.cached_tokens("e1", about("doc1")) == 0
     assert book.take_updates() == {}
 
 
@@ -121,7 +123,7 @@
         peer.datagram_received(message, ("127.0.0.1", 1))
     again = link.message(0.2)
     peer.datagram_received(again, ("127.0.0.1", 1))
-    assert there.cache.cached("e1", about("doc1")) == (0 if lost else 13_000)
+    assert there.cache.cached_tokens("e1", about("doc1")) == (0 if lost else 13_000)
     assert len(again) < len(message)
 
 
