--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -105,7 +105,7 @@
     tokens: int
     urgency: int = 0
 
-    def prefilled(self):
+    def mark_prefilled(self):
         """The prompt is read: only the running request still counts."""
         self.tokens = 0
 
--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -118,7 +118,7 @@
         self.progress_at = time.monotonic()
         if self.begun_at is None:
             self.begun_at = self.progress_at
-            self.work.prefilled()
+            self.work.mark_prefilled()
         return self.stream.write(self.status, self.headers, events)
 
     def check(self):
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -35,7 +35,7 @@
     work = book.begin("e1", 100)
     book.receive("entry-2", report(1, 10.0, {"e1": Load(2, (0, 500), 400)}))
     assert book.total(10.5)["e1"] == Load(3, (100, 500), 400)
-    work.prefilled()
+    work.mark_prefilled()
     assert book.total(10.5)["e1"] == Load(3, (0, 500), 400)
     assert book.total(11.0)["e1"] == Load(1, (0,))
     work.end()
