--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -145,7 +145,7 @@
         self.sums = {}
         self.sum_sequences = {}
 
-    def hold(self, instance_id, until):
+    def cordon(self, instance_id, until):
         """Give an instance under change no new work until then, here and at
         the peers that hear of it."""
         self.held_until[instance_id] = until
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -121,7 +121,7 @@
         if not self.may_order(boot_seconds()):
             return 0.0
         token = self.lease.authority.token
-        self.fleet.loads.hold(instance.id, now + CHANGE_SECONDS)
+        self.fleet.loads.cordon(instance.id, now + CHANGE_SECONDS)
         call = self.wire.stage_order(
             instance.record, change.stage.value, report.orders, self.name, token
         )
@@ -146,7 +146,7 @@
             # With 409 an earlier order, ours without an answer perhaps, is
             # being carried out or has been.
             return stages.ORDER_SETTLE_SECONDS
-        self.fleet.loads.hold(instance.id, now)
+        self.fleet.loads.cordon(instance.id, now)
         if status == 412:
             # Another holder has a newer token: this one must never be used
             # again.
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -259,7 +259,7 @@
     known.apply(KEY, born(1), 1, 0.0)
     (former,) = fleet.instances.serving("llm")
     work = fleet.loads.begin(former.id, 5000, 1)
-    fleet.loads.hold(former.id, 99.0)
+    fleet.loads.cordon(former.id, 99.0)
     fleet.suspicion.failed(former.id, 0.0, unreachable=True)
     known.apply(KEY, born(2), 2, 1.0)
     (current,) = fleet.instances.serving("llm")
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -113,7 +113,7 @@
     the change nobody holds it: data centres must not tell each other of it in turn."""
     fleet = peer_fleet(**MIDDLE)
     fleet.run(1.0)
-    fleet.vms["a-3"].book.hold("e1", fleet.now + 3.0)
+    fleet.vms["a-3"].book.cordon("e1", fleet.now + 3.0)
     fleet.run(2.0)
     assert all(vm.book.held(fleet.now) == {"e1"} for vm in fleet.vms.values())
     fleet.run(5.0)
