--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -80,7 +80,7 @@
     received_at: float
     loads: dict
     leaving: bool = False
-    held: frozenset = frozenset()
+    cordoned: frozenset = frozenset()
     interval: float = DEFAULT_INTERVAL_SECONDS
     suspects: frozenset = frozenset()
 
@@ -155,12 +155,12 @@
         self.held_until = {i: t for i, t in self.held_until.items() if t > now}
         return set(self.held_until)
 
-    def held(self, now):
+    def cordoned(self, now):
         """Return the instances that get no new work, by any VM's word."""
-        held = self.held_near(now)
+        cordoned = self.held_near(now)
         for report in self._fresh_sums(now):
-            held |= report.held
-        return held
+            cordoned |= report.cordoned
+        return cordoned
 
     def held_near(self, now):
         """Return the instances held by this VM's word, or that of a peer that
@@ -169,10 +169,10 @@
         Only these are passed on in a sum: what comes from another one would go
         round between data centres for ever.
         """
-        held = self.own_held(now)
+        cordoned = self.own_held(now)
         for report in self.fresh(now).values():
-            held |= report.held
-        return held
+            cordoned |= report.cordoned
+        return cordoned
 
     def begin(self, instance_id, tokens, urgency=0):
         """Count a send in whose prompt has ``tokens`` to read; return its
