--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -93,7 +93,7 @@
         return max(2, int(cap * CONNECTION_SHARE / self.peers()))
 
     def _fresh(self, service, tried, now):
-        excluded = tried | self.loads.held(now)
+        excluded = tried | self.loads.cordoned(now)
         serving = self.instances.serving(service)
         permits = self.limits.permits
         return [i for i in serving if i.id not in excluded and permits(i.id, now)]
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -266,7 +266,7 @@
     assert former.gone and not current.gone
     assert current.id not in fleet.loads.total(1.0)
     assert former.id not in fleet.loads.total(1.0)
-    assert current.id not in fleet.loads.held(1.0)
+    assert current.id not in fleet.loads.cordoned(1.0)
     assert fleet.suspicion.sound([current], 1.0) == [current]
     work.end()
     assert fleet.loads.total(1.0) == {}
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -115,9 +115,9 @@
     fleet.run(1.0)
     fleet.vms["a-3"].book.cordon("e1", fleet.now + 3.0)
     fleet.run(2.0)
-    assert all(vm.book.held(fleet.now) == {"e1"} for vm in fleet.vms.values())
+    assert all(vm.book.cordoned(fleet.now) == {"e1"} for vm in fleet.vms.values())
     fleet.run(5.0)
-    assert all(vm.book.held(fleet.now) == set() for vm in fleet.vms.values())
+    assert all(vm.book.cordoned(fleet.now) == set() for vm in fleet.vms.values())
 
 
 @pytest.mark.parametrize("sizes", [{"a": 4, "b": 5}, MIDDLE, LARGE])
