--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -106,7 +106,7 @@
         sequence=report.sequence,
         leaving=report.leaving,
         loads=_load_rows(report.loads),
-        held=sorted(report.held),
+        held=sorted(report.cordoned),
         intervalMs=int(report.interval * 1000),
         dataCentre=news.data_centre,
         suspects=sorted(report.suspects),
