--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -182,7 +182,7 @@
         self.upstreams = {}
         self.leaving = set()
         self.listed_leaving = set()
-        self.held = set()
+        self.cordoned = set()
 
     def update(self, upstreams, leaving):
         """Replace the set of upstreams.
@@ -210,7 +210,7 @@
         that is dead would take a retry from every request until the retry
         budget is spent.
         """
-        excluded = self.leaving | self.listed_leaving | self.held | tried
+        excluded = self.leaving | self.listed_leaving | self.cordoned | tried
         eligible = [
             u
             for u in self.upstreams.values()
