--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -123,7 +123,7 @@
         held = set()
         if value is not None:
             held = set(records.decode(records.PlanRecord, value).held)
-        self.engines.held = held
+        self.engines.cordoned = held
 
     def leaving_vms(self):
         """VMs that the configuration declares or the VM list shows as leaving."""
