--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -81,7 +81,7 @@
     router = Router(LeastWait())
     a, b = _engine("a"), _engine("b", backlog_prompt_tokens=1000)
     router.update([a, b], changes.get("leaving", []))
-    router.held = changes.get("held", set())
+    router.cordoned = changes.get("held", set())
     if "failed" in changes:
         router.failed(router.upstreams[changes["failed"]], 0.0)
     if "unavailable" in changes:
