--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -150,7 +150,7 @@
         the peers that hear of it."""
         self.held_until[instance_id] = until
 
-    def own_held(self, now):
+    def own_cordoned(self, now):
         """Return the instances that this VM holds."""
         self.held_until = {i: t for i, t in self.held_until.items() if t > now}
         return set(self.held_until)
@@ -169,7 +169,7 @@
         Only these are passed on in a sum: what comes from another one would go
         round between data centres for ever.
         """
-        cordoned = self.own_held(now)
+        cordoned = self.own_cordoned(now)
         for report in self.fresh(now).values():
             cordoned |= report.cordoned
         return cordoned
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -183,7 +183,7 @@
 
     def message(self, now):
         """Return this VM's message at ``now`` as bytes."""
-        held = self.book.own_held(now)
+        held = self.book.own_cordoned(now)
         report = self._report(
             now, self.book.own(), held, self.interval(), self.suspects(now)
         )
