--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -157,12 +157,12 @@
 
     def cordoned(self, now):
         """Return the instances that get no new work, by any VM's word."""
-        cordoned = self.held_near(now)
+        cordoned = self.direct_cordoned(now)
         for report in self._fresh_sums(now):
             cordoned |= report.cordoned
         return cordoned
 
-    def held_near(self, now):
+    def direct_cordoned(self, now):
         """Return the instances held by this VM's word, or that of a peer that
         tells this VM directly.
 
