--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -140,7 +140,7 @@
 
     def __init__(self):
         self.works = {}
-        self.held_until = {}
+        self.cordoned_until = {}
         self.reports = {}
         self.sums = {}
         self.sum_sequences = {}
@@ -148,12 +148,12 @@
     def cordon(self, instance_id, until):
         """Give an instance under change no new work until then, here and at
         the peers that hear of it."""
-        self.held_until[instance_id] = until
+        self.cordoned_until[instance_id] = until
 
     def own_cordoned(self, now):
         """Return the instances that this VM holds."""
-        self.held_until = {i: t for i, t in self.held_until.items() if t > now}
-        return set(self.held_until)
+        self.cordoned_until = {i: t for i, t in self.cordoned_until.items() if t > now}
+        return set(self.cordoned_until)
 
     def cordoned(self, now):
         """Return the instances that get no new work, by any VM's word."""
@@ -191,7 +191,7 @@
     def forget(self, instance_id):
         """An incarnation is over: its work and its hold with it."""
         self.works.pop(instance_id, None)
-        self.held_until.pop(instance_id, None)
+        self.cordoned_until.pop(instance_id, None)
 
     def own(self):
         """Return this VM's own loads by instance id."""
