--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -250,7 +250,7 @@
         sums = (report.interval for report in self._fresh_sums(now))
         return max(direct, default=0.0) + max(sums, default=0.0)
 
-    def near(self, now):
+    def direct_total(self, now):
         """Return the loads of this VM and of the peers that tell it directly."""
         reports = self.fresh(now).values()
         return _added([self.own(), *(report.loads for report in reports)])
@@ -258,4 +258,4 @@
     def total(self, now):
         """Return all VMs' loads by instance id."""
         sums = (report.loads for report in self._fresh_sums(now))
-        return _added([self.near(now), *sums])
+        return _added([self.direct_total(now), *sums])
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -203,7 +203,7 @@
     def sum_message(self, now):
         """Return the sum of this VM's data centre at ``now`` as bytes."""
         held = self.book.direct_cordoned(now)
-        report = self._report(now, self.book.near(now), held, SUM_SECONDS)
+        report = self._report(now, self.book.direct_total(now), held, SUM_SECONDS)
         reads, self.near_reads = self.near_reads, {}
         pools = []
         if self.estimates is not None:
