--- a/src/mulberrydock/peer_groups.py
+++ b/src/mulberrydock/peer_groups.py
@@ -64,7 +64,8 @@
         silent = {
             name
             for name in self.membership.lapsed
-            if name in direct and not (name in reports and reports[name].heard(now))
+            if name in direct
+            and not (name in reports and reports[name].is_reachable(now))
         }
         own = set() if self.membership.leaving else {self.name}
         return frozenset((self.known().keys() - silent) | own)
@@ -84,7 +85,9 @@
         if not self.grouped():
             return None
         reports = self.book.reports
-        heard = [n for n in self.direct() if n in reports and reports[n].heard(now)]
+        heard = [
+            n for n in self.direct() if n in reports and reports[n].is_reachable(now)
+        ]
         first = self._first([*heard, self.name])
         return first.index(self.name) if self.name in first else None
 
@@ -113,7 +116,7 @@
         heard = {
             name
             for name, report in self.book.reports.items()
-            if report.heard(now) and not report.leaving
+            if report.is_reachable(now) and not report.leaving
         }
         known = self.membership.lapsed | registered
         alive = {name: peer for name, peer in known.items() if name in heard}
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -88,7 +88,7 @@
         """True while the counts say something about the present."""
         return now - self.received_at <= LOAD_EXPIRY_INTERVALS * self.interval
 
-    def heard(self, now):
+    def is_reachable(self, now):
         """True while the peer is taken to be reachable."""
         return now - self.received_at <= SILENT_INTERVALS * self.interval
 
