--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -110,13 +110,15 @@
         # Decode engines read what no prefill engine takes.
         prefills = self.suspicion.willing(prefills, now)
         decoders = [i for i in engines if i.record.stage is not Stage.PREFILL]
-        witnessed = self.loads.witnessed(now)
+        suspected_by_peers = self.loads.suspected_by_peers(now)
         sound = self.suspicion.sound
-        return sound(prefills, now, witnessed), sound(decoders, now, witnessed)
+        return sound(prefills, now, suspected_by_peers), sound(
+            decoders, now, suspected_by_peers
+        )
 
     def _sound(self, instances, now):
         """Return those that may be used, by this VM's word and its peers'."""
-        return self.suspicion.sound(instances, now, self.loads.witnessed(now))
+        return self.suspicion.sound(instances, now, self.loads.suspected_by_peers(now))
 
     def most_urgent(self, route, service):
         """True when no route of the service is more urgent than ``route``."""
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -213,7 +213,7 @@
             peer: report for peer, report in self.reports.items() if report.fresh(now)
         }
 
-    def witnessed(self, now):
+    def suspected_by_peers(self, now):
         """Return the instances at which requests of several peers failed.
 
         The load pattern this answers is a large fleet before engines that crash: if
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -88,7 +88,7 @@
         """The instance is gone for good."""
         self.standings.pop(instance_id, None)
 
-    def sound(self, instances, now, witnessed=frozenset()):
+    def sound(self, instances, now, suspected_by_peers=frozenset()):
         """Return those neither suspected nor full, or else all of them.
 
         With every instance suspected the suspicion says nothing: the cause is
@@ -100,6 +100,6 @@
         for instance in instances:
             standing = self.of(instance.id)
             passed = max(standing.suspect_until, standing.full_until) > now
-            if not passed and instance.id not in witnessed:
+            if not passed and instance.id not in suspected_by_peers:
                 kept.append(instance)
         return kept or list(instances)
