--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -156,7 +156,7 @@
             cost.seconds(demand.apart) / max(1, len(prefills)),
             self._decoders_busy(knowledge, demand, spec, len(decoders)),
             demand.streams,
-            self.loads.age(now),
+            self.loads.report_delay(now),
         )
 
     def _decoders_busy(self, knowledge, demand, spec, count):
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -240,7 +240,7 @@
     def _fresh_sums(self, now):
         return [report for report in self.sums.values() if report.fresh(now)]
 
-    def age(self, now):
+    def report_delay(self, now):
         """Return the seconds for which peers' sends may not be known.
 
         What a peer sent is heard after its interval at the latest, that of another
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -65,7 +65,7 @@
     takes, ``cache`` what each engine keeps, ``move_seconds`` the time that the
     KV cache of a token takes between engines of one data centre, ``busy`` and
     ``decoders_busy`` the utilization of the two stages, ``streams`` the requests
-    a second. ``age`` are the seconds for which other VMs' sends aren't known.
+    a second. ``report_delay`` are the seconds for which other VMs' sends aren't known.
     """
 
     prefills: list
@@ -77,7 +77,7 @@
     busy: float = 1.0
     decoders_busy: float = 1.0
     streams: float = 0.0
-    age: float = 0.0
+    report_delay: float = 0.0
 
     def load(self, instance):
         """Return the :class:`Load` of one engine."""
@@ -219,7 +219,7 @@
                 cost -= self._owner_seconds(prompt, pool)
             option = Option(cost, wait, instance, work, reading, cached, ahead, urgency)
             rows.append((queue, option))
-        unseen = busy * pool.age * len(instances)
+        unseen = busy * pool.report_delay * len(instances)
         level = fill_level([queue for queue, _ in rows], unseen)
         return [
             attrs.evolve(option, cost=option.cost + max(queue, level))
@@ -254,7 +254,7 @@
 
     def _running_level(self, pool):
         """Return the :func:`fill_level` of what runs on the decode engines."""
-        unseen = pool.streams * pool.age * RUNNING_SECONDS
+        unseen = pool.streams * pool.report_delay * RUNNING_SECONDS
         seconds = [self._running_seconds(i, pool) for i in pool.decoders]
         return fill_level(seconds, unseen)
 
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -195,7 +195,7 @@
             busy=self.cost.seconds(demand.apart) / max(1, len(prefills)),
             decoders_busy=0.1,
             streams=demand.streams,
-            age=vm.loads.age(self.now),
+            report_delay=vm.loads.report_delay(self.now),
         )
 
     def arrive(self, job, vm):
