--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -34,13 +34,13 @@
     def __init__(self):
         self.standings = {}
 
-    def of(self, instance_id):
+    def health(self, instance_id):
         """Return the :class:`InstanceHealth` of an instance."""
         return self.standings.setdefault(instance_id, InstanceHealth())
 
     def answered(self, instance_id):
         """The instance gave a whole answer."""
-        standing = self.of(instance_id)
+        standing = self.health(instance_id)
         standing.failures = 0
         standing.suspect_until = 0.0
         standing.refusing = False
@@ -50,7 +50,7 @@
 
         :returns: True when the instance is now passed over.
         """
-        standing = self.of(instance_id)
+        standing = self.health(instance_id)
         standing.failures += 1
         tolerated = 0 if unreachable else TOLERATED_FAILURES
         steps = standing.failures - tolerated - 1
@@ -64,7 +64,7 @@
         """The instance refused a call without having begun it, as engines do under
         a change of stage: the next ones will be refused as well."""
         self.failed(instance_id, now, unreachable=True)
-        self.of(instance_id).refusing = True
+        self.health(instance_id).refusing = True
 
     def willing(self, instances, now):
         """Return the instances but those that refused the last call, for as long as
@@ -72,8 +72,8 @@
         return [
             instance
             for instance in instances
-            if not self.of(instance.id).refusing
-            or self.of(instance.id).suspect_until <= now
+            if not self.health(instance.id).refusing
+            or self.health(instance.id).suspect_until <= now
         ]
 
     def suspects(self, now):
@@ -82,7 +82,7 @@
 
     def full(self, instance_id, now):
         """The instance refused a request for lack of a place."""
-        self.of(instance_id).full_until = now + FULL_SECONDS
+        self.health(instance_id).full_until = now + FULL_SECONDS
 
     def forget(self, instance_id):
         """The instance is gone for good."""
@@ -98,7 +98,7 @@
         """
         kept = []
         for instance in instances:
-            standing = self.of(instance.id)
+            standing = self.health(instance.id)
             passed = max(standing.suspect_until, standing.full_until) > now
             if not passed and instance.id not in suspected_by_peers:
                 kept.append(instance)
