--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -32,11 +32,11 @@
     """Standings by instance id; every decision takes the present time."""
 
     def __init__(self):
-        self.standings = {}
+        self.health_by_id = {}
 
     def health(self, instance_id):
         """Return the :class:`InstanceHealth` of an instance."""
-        return self.standings.setdefault(instance_id, InstanceHealth())
+        return self.health_by_id.setdefault(instance_id, InstanceHealth())
 
     def answered(self, instance_id):
         """The instance gave a whole answer."""
@@ -78,7 +78,7 @@
 
     def suspects(self, now):
         """Return the ids of the instances that are passed over for failures."""
-        return {i for i, s in self.standings.items() if s.suspect_until > now}
+        return {i for i, s in self.health_by_id.items() if s.suspect_until > now}
 
     def full(self, instance_id, now):
         """The instance refused a request for lack of a place."""
@@ -86,7 +86,7 @@
 
     def forget(self, instance_id):
         """The instance is gone for good."""
-        self.standings.pop(instance_id, None)
+        self.health_by_id.pop(instance_id, None)
 
     def sound(self, instances, now, suspected_by_peers=frozenset()):
         """Return those neither suspected nor full, or else all of them.
