--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -69,7 +69,7 @@
             raise
         finally:
             work.end()
-        self.fleet.suspicion.answered(self.engine.id)
+        self.fleet.suspicion.record_success(self.engine.id)
         self.fleet.estimates.record_prefill(self.engine.id, self.request.prompt)
         self._learn(started, time.monotonic())
         return handle
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -294,7 +294,7 @@
             self.fleet.suspicion.failed(instance.id, now)
             return False
         if status < 500:
-            self.fleet.suspicion.answered(instance.id)
+            self.fleet.suspicion.record_success(instance.id)
         return True
 
     async def _send(self, plan, listener, work, patience, handle=None):
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -38,7 +38,7 @@
         """Return the :class:`InstanceHealth` of an instance."""
         return self.health_by_id.setdefault(instance_id, InstanceHealth())
 
-    def answered(self, instance_id):
+    def record_success(self, instance_id):
         """The instance gave a whole answer."""
         standing = self.health(instance_id)
         standing.failures = 0
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -125,7 +125,7 @@
     later = 10.0 + FIRST_HOLD_SECONDS + 0.1
     assert len(suspicion.sound(pool, later)) == 2
     suspicion.failed("a", 20.0, unreachable)
-    suspicion.answered("a")
+    suspicion.record_success("a")
     assert len(suspicion.sound(pool, 20.1)) == 2
 
 
