--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -319,7 +319,7 @@
                     self.sink.finish()
                     return ResultCode.OK
             except UpstreamError as error:
-                self.daemon.engines.failed(engine, time.monotonic())
+                self.daemon.engines.record_failure(engine, time.monotonic())
                 self.may_have_run |= error.code != ResultCode.NOT_RUN
                 cause = str(error)
                 call = f"{self.request_id}/{attempt}"
@@ -368,7 +368,7 @@
         finally:
             engine.in_flight -= 1
         if answer.status != 200:
-            self.daemon.engines.failed(engine, time.monotonic())
+            self.daemon.engines.record_failure(engine, time.monotonic())
             self.may_have_run |= not answer.not_executed
             return False
         answer.end()
@@ -441,11 +441,11 @@
             )
             document = json.loads(b"".join(chunks))
         except (UpstreamError, ValueError):
-            router.failed(engine, time.monotonic())
+            router.record_failure(engine, time.monotonic())
             return ""
         finally:
             engine.in_flight -= 1
         if exchange.status != 200:
-            router.failed(engine, time.monotonic())
+            router.record_failure(engine, time.monotonic())
             return ""
         return f"{engine.address}/{document['kv_handle']}"
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -305,7 +305,7 @@
             try:
                 status, body = await self._send(service)
             except UpstreamError as error:
-                router.failed(service, time.monotonic())
+                router.record_failure(service, time.monotonic())
                 may_have_run |= error.code != ResultCode.NOT_RUN
                 await self._examine(service, error)
                 if self.daemon.crashes.holds(self.fingerprint):
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -115,7 +115,9 @@
     async def _failed(self, error):
         if not isinstance(error, CallRefused):
             unreachable = error.code == ResultCode.NOT_RUN
-            self.fleet.suspicion.failed(self.engine.id, time.monotonic(), unreachable)
+            self.fleet.suspicion.record_failure(
+                self.engine.id, time.monotonic(), unreachable
+            )
         logger.warning(
             "prefill failed",
             request=self.request.id,
--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -229,6 +229,6 @@
             return None
         return self.policy.pick(candidates, work, now)
 
-    def failed(self, upstream, now):
+    def record_failure(self, upstream, now):
         """Pass over ``upstream`` for a while after a failure at ``now``."""
         upstream.failed_until = now + FAILURE_HOLD_SECONDS
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -291,7 +291,7 @@
         if not marks.signed:
             # Not an answer of the instance's own.
             self.cause = f"unsigned answer {status}"
-            self.fleet.suspicion.failed(instance.id, now)
+            self.fleet.suspicion.record_failure(instance.id, now)
             return False
         if status < 500:
             self.fleet.suspicion.record_success(instance.id)
@@ -337,7 +337,7 @@
         else:
             self.may_have_run = True
         self.cause = f"{instance.id}: {error}"
-        suspected = self.fleet.suspicion.failed(
+        suspected = self.fleet.suspicion.record_failure(
             instance.id, time.monotonic(), unreachable=not_sent
         )
         logger.warning(
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -45,7 +45,7 @@
         standing.suspect_until = 0.0
         standing.refusing = False
 
-    def failed(self, instance_id, now, unreachable=False):
+    def record_failure(self, instance_id, now, unreachable=False):
         """A request failed; ``unreachable`` when no connection could be made.
 
         :returns: True when the instance is now passed over.
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -260,7 +260,7 @@
     (former,) = fleet.instances.serving("llm")
     work = fleet.loads.begin(former.id, 5000, 1)
     fleet.loads.cordon(former.id, 99.0)
-    fleet.suspicion.failed(former.id, 0.0, unreachable=True)
+    fleet.suspicion.record_failure(former.id, 0.0, unreachable=True)
     known.apply(KEY, born(2), 2, 1.0)
     (current,) = fleet.instances.serving("llm")
     assert former.gone and not current.gone
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -118,13 +118,13 @@
     suspicion = Suspicion()
     known = registry("a", "b")
     for _ in range(failures):
-        suspicion.failed("a", 10.0, unreachable)
+        suspicion.record_failure("a", 10.0, unreachable)
     pool = known.serving("s")
     sound = {i.id for i in suspicion.sound(pool, 10.1)}
     assert sound == ({"b"} if suspected else {"a", "b"})
     later = 10.0 + FIRST_HOLD_SECONDS + 0.1
     assert len(suspicion.sound(pool, later)) == 2
-    suspicion.failed("a", 20.0, unreachable)
+    suspicion.record_failure("a", 20.0, unreachable)
     suspicion.record_success("a")
     assert len(suspicion.sound(pool, 20.1)) == 2
 
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -138,7 +138,7 @@
     for number in range(3):
         suspicion = Suspicion()
         if number < failed_at:
-            suspicion.failed("e1", time.monotonic(), unreachable=True)
+            suspicion.record_failure("e1", time.monotonic(), unreachable=True)
         book = LoadTracker()
         peer = PeerLink(
             f"entry-{number + 1}", book, alone(book), bool, None, suspicion.suspects
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -83,7 +83,7 @@
     router.update([a, b], changes.get("leaving", []))
     router.cordoned = changes.get("held", set())
     if "failed" in changes:
-        router.failed(router.upstreams[changes["failed"]], 0.0)
+        router.record_failure(router.upstreams[changes["failed"]], 0.0)
     if "unavailable" in changes:
         away = router.upstreams[changes["unavailable"]]
         away.report = attrs.evolve(away.report, available=False)
