--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -63,7 +63,7 @@
     def refused(self, instance_id, now):
         """The instance refused a call without having begun it, as engines do under
         a change of stage: the next ones will be refused as well."""
-        self.failed(instance_id, now, unreachable=True)
+        self.record_failure(instance_id, now, unreachable=True)
         self.health(instance_id).refusing = True
 
     def willing(self, instances, now):
