--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -71,7 +71,7 @@
         if answering and answering != instance.record.id:
             self.instances.left(instance, "address reused")
         else:
-            self.suspicion.refused(instance.id, now)
+            self.suspicion.record_refusal(instance.id, now)
 
     def budget(self, service):
         """Return this VM's retry budget for a service."""
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -107,7 +107,7 @@
         if answer.status == 421:
             self.fleet.misdirected(self.engine, marks.instance, now)
         elif marks.not_executed:
-            self.fleet.suspicion.refused(self.engine.id, now)
+            self.fleet.suspicion.record_refusal(self.engine.id, now)
         else:
             raise UpstreamError(reason)
         raise CallRefused(reason)
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -60,7 +60,7 @@
         standing.suspect_until = now + hold
         return True
 
-    def refused(self, instance_id, now):
+    def record_refusal(self, instance_id, now):
         """The instance refused a call without having begun it, as engines do under
         a change of stage: the next ones will be refused as well."""
         self.record_failure(instance_id, now, unreachable=True)
