--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -284,7 +284,7 @@
             self.cause = f"{instance.id} is not at its address or in its stage"
             return False
         if marks.not_executed:
-            self.fleet.suspicion.full(instance.id, now)
+            self.fleet.suspicion.record_no_slot(instance.id, now)
             self.cause = f"{instance.id} refused"
             return False
         self.may_have_run = True
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -80,7 +80,7 @@
         """Return the ids of the instances that are passed over for failures."""
         return {i for i, s in self.health_by_id.items() if s.suspect_until > now}
 
-    def full(self, instance_id, now):
+    def record_no_slot(self, instance_id, now):
         """The instance refused a request for lack of a place."""
         self.health(instance_id).full_until = now + FULL_SECONDS
 
