--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -108,7 +108,7 @@
         of each stage where there are any."""
         prefills = [i for i in engines if i.record.stage is Stage.PREFILL]
         # Decode engines read what no prefill engine takes.
-        prefills = self.suspicion.willing(prefills, now)
+        prefills = self.suspicion.accepting(prefills, now)
         decoders = [i for i in engines if i.record.stage is not Stage.PREFILL]
         suspected_by_peers = self.loads.suspected_by_peers(now)
         sound = self.suspicion.sound
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -66,7 +66,7 @@
         self.record_failure(instance_id, now, unreachable=True)
         self.health(instance_id).refusing = True
 
-    def willing(self, instances, now):
+    def accepting(self, instances, now):
         """Return the instances but those that refused the last call, for as long as
         they are passed over."""
         return [
