--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -111,14 +111,16 @@
         prefills = self.suspicion.accepting(prefills, now)
         decoders = [i for i in engines if i.record.stage is not Stage.PREFILL]
         suspected_by_peers = self.loads.suspected_by_peers(now)
-        sound = self.suspicion.sound
+        sound = self.suspicion.healthy
         return sound(prefills, now, suspected_by_peers), sound(
             decoders, now, suspected_by_peers
         )
 
     def _sound(self, instances, now):
         """Return those that may be used, by this VM's word and its peers'."""
-        return self.suspicion.sound(instances, now, self.loads.suspected_by_peers(now))
+        return self.suspicion.healthy(
+            instances, now, self.loads.suspected_by_peers(now)
+        )
 
     def most_urgent(self, route, service):
         """True when no route of the service is more urgent than ``route``."""
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -88,7 +88,7 @@
         """The instance is gone for good."""
         self.health_by_id.pop(instance_id, None)
 
-    def sound(self, instances, now, suspected_by_peers=frozenset()):
+    def healthy(self, instances, now, suspected_by_peers=frozenset()):
         """Return those neither suspected nor full, or else all of them.
 
         With every instance suspected the suspicion says nothing: the cause is
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -267,7 +267,7 @@
     assert current.id not in fleet.loads.total(1.0)
     assert former.id not in fleet.loads.total(1.0)
     assert current.id not in fleet.loads.cordoned(1.0)
-    assert fleet.suspicion.sound([current], 1.0) == [current]
+    assert fleet.suspicion.healthy([current], 1.0) == [current]
     work.end()
     assert fleet.loads.total(1.0) == {}
     assert isinstance(fleet.suspicion, Suspicion)
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -120,13 +120,13 @@
     for _ in range(failures):
         suspicion.record_failure("a", 10.0, unreachable)
     pool = known.serving("s")
-    sound = {i.id for i in suspicion.sound(pool, 10.1)}
+    sound = {i.id for i in suspicion.healthy(pool, 10.1)}
     assert sound == ({"b"} if suspected else {"a", "b"})
     later = 10.0 + FIRST_HOLD_SECONDS + 0.1
-    assert len(suspicion.sound(pool, later)) == 2
+    assert len(suspicion.healthy(pool, later)) == 2
     suspicion.record_failure("a", 20.0, unreachable)
     suspicion.record_success("a")
-    assert len(suspicion.sound(pool, 20.1)) == 2
+    assert len(suspicion.healthy(pool, 20.1)) == 2
 
 
 def route(prefix, host="h.example"):
