--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -116,7 +116,7 @@
             decoders, now, suspected_by_peers
         )
 
-    def _sound(self, instances, now):
+    def _healthy(self, instances, now):
         """Return those that may be used, by this VM's word and its peers'."""
         return self.suspicion.healthy(
             instances, now, self.loads.suspected_by_peers(now)
@@ -224,7 +224,7 @@
         """
         if not request.prompt.tokens:
             fresh = self._fresh(service, tried, now)
-            sound = self._sound(fresh, now)
+            sound = self._healthy(fresh, now)
             if not sound:
                 return None
             return Plan(self.placement.least_loaded(sound, self.loads.total(now)))
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -146,5 +146,5 @@
         message = peer.message(time.monotonic())
         link.datagram_received(message, ("127.0.0.1", 1))
     now = time.monotonic()
-    sound = {i.id for i in here._sound(here.instances.serving("app"), now)}
+    sound = {i.id for i in here._healthy(here.instances.serving("app"), now)}
     assert ("e1" not in sound) is passed_over
