--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -189,7 +189,7 @@
         """Return ``plan`` with the decode engine that is best now, or None."""
         pool = self._pool(service, tried, now)
         moved = request.prompt.tokens
-        target = self.placement.decoder(
+        target = self.placement.choose_decoder(
             pool, moved, plan.prefill, request_hash_fraction(request.id)
         )
         return target and attrs.evolve(plan, target=target)
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -313,7 +313,7 @@
         """Return (cost, :class:`Plan`) of reading by a prefill engine."""
         options = self._options(prompt, route, drawn, pool.prefills, pool, pool.busy)
         best = min(options, key=lambda o: (o.cost, rank(drawn, o.instance.id)))
-        target = self.decoder(pool, prompt.tokens, best.instance, drawn)
+        target = self.choose_decoder(pool, prompt.tokens, best.instance, drawn)
         after = self._decode_seconds(target, pool, prompt.tokens, best.instance)
         after += HANDOVER_SECONDS
         plan = Plan(target, best.instance, best.work, best.wait + after, best.reading)
@@ -327,7 +327,7 @@
             urgency=option.urgency,
         )
 
-    def decoder(self, pool, moved, source, drawn=1.0):
+    def choose_decoder(self, pool, moved, source, drawn=1.0):
         """Return the best engine to decode, None without one.
 
         :param moved: tokens whose KV cache comes from ``source``.
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -232,7 +232,7 @@
         if job.plan.prefill:
             pool = self.known_to(job.vm)
             drawn = request_hash_fraction(job.name)
-            target = job.vm.placement.decoder(
+            target = job.vm.placement.choose_decoder(
                 pool, job.prompt.tokens, job.plan.prefill, drawn
             )
         job.first_at = now + FIRST_EVENT_SECONDS
