--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -200,7 +200,7 @@
             asyncio.ensure_future(self.crash_watch.run()),
             asyncio.ensure_future(self.crashes.keeper.run()),
             asyncio.ensure_future(self.vm_list.run()),
-            asyncio.ensure_future(self.loads.follow_loads()),
+            asyncio.ensure_future(self.loads.poll_loads()),
             asyncio.ensure_future(self.loads.follow_events()),
         ]
         logger.info("entry serving", address=self.entry.address)
--- a/src/mulberrydock/load_report.py
+++ b/src/mulberrydock/load_report.py
@@ -69,7 +69,7 @@
     async def _sweep(self, read):
         await asyncio.gather(*[read(e) for e in self.router.upstreams.values()])
 
-    async def follow_loads(self):
+    async def poll_loads(self):
         """Read every engine's load report, forever."""
         while True:
             await self._sweep(self.read_load)
