--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -201,7 +201,7 @@
             asyncio.ensure_future(self.crashes.keeper.run()),
             asyncio.ensure_future(self.vm_list.run()),
             asyncio.ensure_future(self.loads.poll_loads()),
-            asyncio.ensure_future(self.loads.follow_events()),
+            asyncio.ensure_future(self.loads.poll_events()),
         ]
         logger.info("entry serving", address=self.entry.address)
         await stop.wait()
--- a/src/mulberrydock/load_report.py
+++ b/src/mulberrydock/load_report.py
@@ -75,7 +75,7 @@
             await self._sweep(self.read_load)
             await asyncio.sleep(defaults.LOAD_POLL_SECONDS)
 
-    async def follow_events(self):
+    async def poll_events(self):
         """Read every engine's cache events, forever, if the policy wants them."""
         while isinstance(self.router.policy, CacheTracking):
             await self._sweep(self.read_events)
