--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -101,11 +101,11 @@
         """Take samples of this VM or of a peer."""
         for row in samples:
             pool = self.pool(row.service)
-            pool.speed.record(row.tokens, row.cached, row.seconds, now)
+            pool.cost_model.record(row.tokens, row.cached, row.seconds, now)
             self._log_change(row.service, pool)
 
     def _log_change(self, service, pool):
-        cost, logged = pool.speed.cost, pool.logged_token_seconds
+        cost, logged = pool.cost_model.cost, pool.logged_token_seconds
         if logged and abs(cost.token / logged - 1) < LOGGED_CHANGE:
             return
         pool.logged_token_seconds = cost.token
@@ -114,7 +114,7 @@
             service=service,
             token_seconds=cost.token,
             overhead=round(cost.overhead, 4),
-            samples=len(pool.speed.samples),
+            samples=len(pool.cost_model.samples),
         )
 
     def pool_updates(self, now, peers=frozenset()):
@@ -124,8 +124,8 @@
         """
         rows = []
         for service, pool in self.pools.items():
-            told = len(pool.speed.samples) >= TOLD_SAMPLES
-            cost = pool.speed.cost if told else None
+            told = len(pool.cost_model.samples) >= TOLD_SAMPLES
+            cost = pool.cost_model.cost if told else None
             rows.append(PoolUpdate(service, pool.demand.total(now, peers), cost))
         return rows
 
@@ -135,7 +135,7 @@
             pool = self.pool(row.service)
             pool.demand.apply_update(peer, row.demand, now)
             if row.cost is not None:
-                pool.speed.apply_update(peer, row.cost)
+                pool.cost_model.apply_update(peer, row.cost)
 
     def apply_prefills(self, instance_id, rows):
         """Take the parts that an engine read for a peer."""
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -147,7 +147,7 @@
         spec = self._spec(service)
         knowledge = self.estimates.pool(service)
         demand = knowledge.demand.total(now)
-        cost = knowledge.speed.cost
+        cost = knowledge.cost_model.cost
         return Pool(
             prefills,
             decoders,
@@ -163,7 +163,7 @@
 
     def _decoders_busy(self, knowledge, demand, spec, count):
         """Return the utilization of ``count`` decode engines."""
-        in_place = knowledge.speed.cost.seconds(demand.in_place) / IN_PLACE_SHARE
+        in_place = knowledge.cost_model.cost.seconds(demand.in_place) / IN_PLACE_SHARE
         decoding = self._decoding(knowledge, demand, spec) if spec else 0.0
         return (in_place + decoding) / max(1, count)
 
@@ -201,7 +201,7 @@
             (self.estimates.cache.cached_tokens(e.id, prompt) for e in engines),
             default=0,
         )
-        cost = self.estimates.pool(service).speed.cost
+        cost = self.estimates.pool(service).cost_model.cost
         work = cost.work(prompt.tokens - cached, cached)
         short = is_short(cost.seconds(work), route.latency_objective)
         self.estimates.record_demand(service, prompt, work, short, now)
@@ -213,7 +213,7 @@
         demand = knowledge.demand.total(now)
         if demand.streams < LEAST_STREAMS:
             return None
-        seconds = knowledge.speed.cost.seconds
+        seconds = knowledge.cost_model.cost.seconds
         decoding = self._decoding(knowledge, demand, spec)
         return StageNeeds(seconds(demand.reading), decoding, seconds(demand.short))
 
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -258,7 +258,7 @@
         knowledge = self.fleet.estimates.pool(self.service)
         knowledge.record_stream(now - self.stream.begun_at)
         metrics = self.relay.metrics
-        metrics.token_seconds.labels(self.service).set(knowledge.speed.cost.token)
+        metrics.token_seconds.labels(self.service).set(knowledge.cost_model.cost.token)
         if plan.wait > 0:
             ratio = (self.stream.begun_at - self.planned_at) / plan.wait
             metrics.wait_ratio.labels(self.service).observe(ratio)
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -100,6 +100,6 @@
     of the other."""
     estimates = FleetEstimates(lambda instance_id: 1000)
     for number in range(20):
-        estimates.pool("large").speed.record(5000, 0, 0.5, number * 0.1)
-    assert estimates.pool("small").speed.cost == PrefillCost()
-    assert estimates.pool("large").speed.cost.token > PrefillCost().token
+        estimates.pool("large").cost_model.record(5000, 0, 0.5, number * 0.1)
+    assert estimates.pool("small").cost_model.cost == PrefillCost()
+    assert estimates.pool("large").cost_model.cost.token > PrefillCost().token
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -136,13 +136,15 @@
     rng = random.Random(1)
     for number in range(40):
         tokens = rng.randrange(500, 9000)
-        here.pool("llm").speed.record(tokens, 0, 0.01 + tokens * 4e-5, number * 0.1)
+        here.pool("llm").cost_model.record(
+            tokens, 0, 0.01 + tokens * 4e-5, number * 0.1
+        )
     here.record_demand("llm", about("doc1"), 5000, False, 4.0)
     for number in range(5):
         peer.datagram_received(link.message(4.0), ("127.0.0.1", 1))
     heard = there.pool("llm")
-    fitted = here.pool("llm").speed.cost
+    fitted = here.pool("llm").cost_model.cost
     assert fitted.seconds(fitted.work(5000, 0)) == pytest.approx(0.2, rel=0.15)
-    assert heard.speed.cost.token == pytest.approx(fitted.token)
+    assert heard.cost_model.cost.token == pytest.approx(fitted.token)
     told = here.pool("llm").demand.own(4.0)
     assert heard.demand.total(4.0).moved == pytest.approx(told.moved, rel=1e-6)
