--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -23,7 +23,7 @@
     end, None before the first; ``logged_token_seconds`` the speed last logged.
     """
 
-    speed: PrefillCostModel = attrs.field(factory=PrefillCostModel)
+    cost_model: PrefillCostModel = attrs.field(factory=PrefillCostModel)
     demand: DemandMeter = attrs.field(factory=DemandMeter)
     stream_seconds: float | None = None
     logged_token_seconds: float = 0.0
