--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -154,7 +154,7 @@
             self.loads.total(now),
             cost,
             self.estimates.cache,
-            spec.move_seconds if spec else 0.0,
+            spec.transfer_seconds_per_token if spec else 0.0,
             cost.seconds(demand.apart) / max(1, len(prefills)),
             self._decoders_busy(knowledge, demand, spec, len(decoders)),
             demand.streams,
@@ -175,7 +175,7 @@
         that bears no more is at the utilization at which one more of them is asked
         for; one with few places bears a smaller share of them.
         """
-        link = demand.moved * spec.move_seconds * FAR_MOVE_FACTOR
+        link = demand.moved * spec.transfer_seconds_per_token * FAR_MOVE_FACTOR
         streams = demand.streams * (knowledge.stream_seconds or 0.0)
         places = 0.0
         if spec.slots:
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -62,7 +62,7 @@
     """The engines of one service to choose from, and what is known of them.
 
     ``loads`` are the :class:`Load` by engine, ``cost`` the time that reading
-    takes, ``cache`` what each engine keeps, ``move_seconds`` the time that the
+    takes, ``cache`` what each engine keeps, ``transfer_seconds_per_token`` the time that the
     KV cache of a token takes between engines of one data centre, ``busy`` and
     ``decoders_busy`` the utilization of the two stages, ``streams`` the requests
     a second. ``report_delay`` are the seconds for which other VMs' sends aren't known.
@@ -73,7 +73,7 @@
     loads: dict
     cost: object
     cache: object
-    move_seconds: float = 0.0
+    transfer_seconds_per_token: float = 0.0
     busy: float = 1.0
     decoders_busy: float = 1.0
     streams: float = 0.0
@@ -265,7 +265,7 @@
         :param level: seconds up to which other VMs fill the decode engines.
         """
         load = pool.load(instance)
-        move = moved * pool.move_seconds
+        move = moved * pool.transfer_seconds_per_token
         if source is not None:
             if source.record.data_centre != instance.record.data_centre:
                 move *= FAR_MOVE_FACTOR
--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -83,7 +83,7 @@
         max_connections=int(row.get("max_connections", 100)),
         kv_tokens=int(engine.get("kv_tokens", 0)),
         slots=int(engine.get("slots", 0)),
-        move_seconds=bits / (link * 1e6) if link > 0 else 0.0,
+        transfer_seconds_per_token=bits / (link * 1e6) if link > 0 else 0.0,
     )
 
 
--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -66,7 +66,7 @@
     """A declared service: connection cap per instance and engine limits.
 
     ``kv_tokens`` is an engine's memory in tokens, 0 for a plain application
-    service; ``move_seconds`` the time that a token's KV cache takes on an
+    service; ``transfer_seconds_per_token`` the time that a token's KV cache takes on an
     engine's link.
     """
 
@@ -74,7 +74,7 @@
     max_connections: int
     kv_tokens: int = 0
     slots: int = 0
-    move_seconds: float = 0.0
+    transfer_seconds_per_token: float = 0.0
 
     @property
     def is_engine(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -192,7 +192,10 @@
     the engine there is far busier."""
     near, far = engines(D, 1, "dc1")[0], engines(D, 2, "dc2")[1]
     known = pool(
-        engines(P, 1), [near, far], {near.id: Load(running)}, move_seconds=1e-6
+        engines(P, 1),
+        [near, far],
+        {near.id: Load(running)},
+        transfer_seconds_per_token=1e-6,
     )
     plan = Placement("dc2").plan(letter(1), ROUTE, known)
     assert plan.target is (near if chosen == "near" else far)
