--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -55,7 +55,7 @@
 def _pool_row(news):
     row = {
         "service": news.service,
-        "reading": news.demand.reading,
+        "reading": news.demand.prefill_work,
         "moved": news.demand.moved,
         "streams": news.demand.streams,
         "apart": news.demand.apart,
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -16,7 +16,7 @@
     meter = DemandMeter()
     steady(meter, 10, 0.0, 5 * AVERAGE_SECONDS)
     asked = meter.own(5 * AVERAGE_SECONDS)
-    assert asked.reading == pytest.approx(10_000, rel=0.1)
+    assert asked.prefill_work == pytest.approx(10_000, rel=0.1)
     assert asked.streams == pytest.approx(10, rel=0.1)
 
 
