--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -40,14 +40,14 @@
 class Demand:
     """What is asked of a pool in a second.
 
-    ``reading`` is the work of reading prompts, in tokens without context;
+    ``prefill_work`` is the work of reading prompts, in tokens without context;
     ``moved`` the tokens whose KV cache goes to a decode engine; ``streams`` the
     requests. ``apart`` and ``in_place`` are the work of reading that was sent to
     prefill and to decode engines, repeats included; ``short`` the part of
-    ``reading`` that decode engines could do as well.
+    ``prefill_work`` that decode engines could do as well.
     """
 
-    reading: float = 0.0
+    prefill_work: float = 0.0
     moved: float = 0.0
     streams: float = 0.0
     apart: float = 0.0
