--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -175,14 +175,20 @@
         that bears no more is at the utilization at which one more of them is asked
         for; one with few places bears a smaller share of them.
         """
-        link = demand.moved * spec.transfer_seconds_per_token * FAR_MOVE_FACTOR
+        link = (
+            demand.transferred_tokens
+            * spec.transfer_seconds_per_token
+            * FAR_MOVE_FACTOR
+        )
         streams = demand.streams * (knowledge.stream_seconds or 0.0)
         places = 0.0
         if spec.slots:
             places = streams / sustainable_streams(spec.slots) * MOST_DECODING
         memory = 0.0
         if demand.streams and spec.kv_tokens:
-            memory = streams * demand.moved / demand.streams / spec.kv_tokens
+            memory = (
+                streams * demand.transferred_tokens / demand.streams / spec.kv_tokens
+            )
         return max(link, places, memory)
 
     def decode_plan(self, request, service, plan, tried, now):
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -56,7 +56,7 @@
     row = {
         "service": news.service,
         "reading": news.demand.prefill_work,
-        "moved": news.demand.moved,
+        "moved": news.demand.transferred_tokens,
         "streams": news.demand.streams,
         "apart": news.demand.apart,
         "inPlace": news.demand.in_place,
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -147,4 +147,6 @@
     assert fitted.seconds(fitted.work(5000, 0)) == pytest.approx(0.2, rel=0.15)
     assert heard.cost_model.cost.token == pytest.approx(fitted.token)
     told = here.pool("llm").demand.own(4.0)
-    assert heard.demand.total(4.0).moved == pytest.approx(told.moved, rel=1e-6)
+    assert heard.demand.total(4.0).transferred_tokens == pytest.approx(
+        told.transferred_tokens, rel=1e-6
+    )
