--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -41,14 +41,14 @@
     """What is asked of a pool in a second.
 
     ``prefill_work`` is the work of reading prompts, in tokens without context;
-    ``moved`` the tokens whose KV cache goes to a decode engine; ``streams`` the
+    ``transferred_tokens`` the tokens whose KV cache goes to a decode engine; ``streams`` the
     requests. ``apart`` and ``in_place`` are the work of reading that was sent to
     prefill and to decode engines, repeats included; ``short`` the part of
     ``prefill_work`` that decode engines could do as well.
     """
 
     prefill_work: float = 0.0
-    moved: float = 0.0
+    transferred_tokens: float = 0.0
     streams: float = 0.0
     apart: float = 0.0
     in_place: float = 0.0
