--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -155,7 +155,7 @@
             cost,
             self.estimates.cache,
             spec.transfer_seconds_per_token if spec else 0.0,
-            cost.seconds(demand.apart) / max(1, len(prefills)),
+            cost.seconds(demand.prefill_engine_work) / max(1, len(prefills)),
             self._decoders_busy(knowledge, demand, spec, len(decoders)),
             demand.streams,
             self.loads.report_delay(now),
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -58,7 +58,7 @@
         "reading": news.demand.prefill_work,
         "moved": news.demand.transferred_tokens,
         "streams": news.demand.streams,
-        "apart": news.demand.apart,
+        "apart": news.demand.prefill_engine_work,
         "inPlace": news.demand.in_place,
         "short": news.demand.short,
     }
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -61,7 +61,7 @@
         )
         work = self.fleet.loads.begin(self.engine.id, plan.tokens, plan.urgency)
         knowledge = self.fleet.estimates.pool(self.service)
-        knowledge.demand.record(Demand(apart=plan.tokens), started)
+        knowledge.demand.record(Demand(prefill_engine_work=plan.tokens), started)
         try:
             handle = await self._call(left)
         except UpstreamError as error:
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -192,7 +192,7 @@
             vm.loads.total(self.now),
             self.cost,
             vm.cache,
-            busy=self.cost.seconds(demand.apart) / max(1, len(prefills)),
+            busy=self.cost.seconds(demand.prefill_engine_work) / max(1, len(prefills)),
             decoders_busy=0.1,
             streams=demand.streams,
             report_delay=vm.loads.report_delay(self.now),
@@ -210,7 +210,7 @@
             job.refused = True
             return
         apart = job.plan.tokens if job.plan.prefill else 0.0
-        self.demand.record(Demand(streams=1.0, apart=apart), self.now)
+        self.demand.record(Demand(streams=1.0, prefill_engine_work=apart), self.now)
         reader = job.plan.prefill or job.plan.target
         job.work = vm.loads.begin(reader.id, job.plan.tokens, job.plan.urgency)
         self.engines[reader.id].take(job, self.now)
