--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -163,7 +163,10 @@
 
     def _decoders_busy(self, knowledge, demand, spec, count):
         """Return the utilization of ``count`` decode engines."""
-        in_place = knowledge.cost_model.cost.seconds(demand.in_place) / IN_PLACE_SHARE
+        in_place = (
+            knowledge.cost_model.cost.seconds(demand.decode_engine_work)
+            / IN_PLACE_SHARE
+        )
         decoding = self._decoding(knowledge, demand, spec) if spec else 0.0
         return (in_place + decoding) / max(1, count)
 
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -59,7 +59,7 @@
         "moved": news.demand.transferred_tokens,
         "streams": news.demand.streams,
         "apart": news.demand.prefill_engine_work,
-        "inPlace": news.demand.in_place,
+        "inPlace": news.demand.decode_engine_work,
         "short": news.demand.short,
     }
     if news.cost is not None:
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -232,7 +232,7 @@
             urgency = min(PRIORITY_MAX, self.route.priority)
             work = self.fleet.loads.begin(plan.target.id, tokens, urgency)
             knowledge = self.fleet.estimates.pool(self.service)
-            knowledge.demand.record(Demand(in_place=tokens), time.monotonic())
+            knowledge.demand.record(Demand(decode_engine_work=tokens), time.monotonic())
             listener = StreamListener(self.wire, self.stream, work)
             patience = self._patience(
                 FIRST_EVENT_SECONDS + WAIT_MARGIN * plan.wait, EVENT_GAP_SECONDS
