--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -83,7 +83,9 @@
         :param work: that of reading it, in tokens without context.
         :param short: True when a decode engine could read it as well.
         """
-        demand = Demand(work, prompt.tokens, 1.0, short=work if short else 0.0)
+        demand = Demand(
+            work, prompt.tokens, 1.0, short_prefill_work=work if short else 0.0
+        )
         self.pool(service).demand.record(demand, now)
 
     def record_sample(self, sample, now):
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -224,7 +224,9 @@
             return None
         seconds = knowledge.cost_model.cost.seconds
         decoding = self._decoding(knowledge, demand, spec)
-        return StageNeeds(seconds(demand.prefill_work), decoding, seconds(demand.short))
+        return StageNeeds(
+            seconds(demand.prefill_work), decoding, seconds(demand.short_prefill_work)
+        )
 
     def plan(self, request, route, service, tried, now):
         """Return the :class:`Plan` of one attempt, or None.
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -60,7 +60,7 @@
         "streams": news.demand.streams,
         "apart": news.demand.prefill_engine_work,
         "inPlace": news.demand.decode_engine_work,
-        "short": news.demand.short,
+        "short": news.demand.short_prefill_work,
     }
     if news.cost is not None:
         row |= attrs.asdict(news.cost)
