--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -43,7 +43,7 @@
     ``prefill_work`` is the work of reading prompts, in tokens without context;
     ``transferred_tokens`` the tokens whose KV cache goes to a decode engine; ``streams`` the
     requests. ``prefill_engine_work`` and ``decode_engine_work`` are the work of reading that was sent to
-    prefill and to decode engines, repeats included; ``short`` the part of
+    prefill and to decode engines, repeats included; ``short_prefill_work`` the part of
     ``prefill_work`` that decode engines could do as well.
     """
 
@@ -52,7 +52,7 @@
     streams: float = 0.0
     prefill_engine_work: float = 0.0
     decode_engine_work: float = 0.0
-    short: float = 0.0
+    short_prefill_work: float = 0.0
 
     def __add__(self, other):
         pairs = zip(attrs.astuple(self), attrs.astuple(other))
