--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -131,7 +131,7 @@
             "order",
             instance=instance.id,
             stage=change.stage.value,
-            reading=needs and round(needs.reading, 2),
+            reading=needs and round(needs.prefill_demand, 2),
             decoding=needs and round(needs.decoding, 2),
             token=token,
             orders=report.orders,
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -126,9 +126,9 @@
     """Return the utilization of a pool's busier stage; decode engines read what no
     prefill engine does."""
     if not prefills:
-        work = needs.reading / IN_PLACE_SHARE + needs.decoding
+        work = needs.prefill_demand / IN_PLACE_SHARE + needs.decoding
         return work / max(1, decoders)
-    return max(needs.reading / prefills, needs.decoding / max(1, decoders))
+    return max(needs.prefill_demand / prefills, needs.decoding / max(1, decoders))
 
 
 def _relieves(prefills, decoders, needs):
@@ -154,7 +154,7 @@
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decoding)
-    reading = needs.reading - min(needs.short, idle)
+    reading = needs.prefill_demand - min(needs.short, idle)
     can_spare = decoders > spare
     can_spare = can_spare and needs.decoding <= MOST_DECODING * (decoders - 1)
     if can_spare and reading > most_reading(count) * prefills:
