--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -73,10 +73,10 @@
 class StageNeeds:
     """Engines' worth of work that is asked of each stage of a pool.
 
-    ``short`` is the part of ``reading`` that decode engines could do as well.
+    ``short`` is the part of ``prefill_demand`` that decode engines could do as well.
     """
 
-    reading: float = 0.0
+    prefill_demand: float = 0.0
     decoding: float = 0.0
     short: float = 0.0
 
@@ -154,10 +154,10 @@
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decoding)
-    reading = needs.prefill_demand - min(needs.short, idle)
+    prefill_demand = needs.prefill_demand - min(needs.short, idle)
     can_spare = decoders > spare
     can_spare = can_spare and needs.decoding <= MOST_DECODING * (decoders - 1)
-    if can_spare and reading > most_reading(count) * prefills:
+    if can_spare and prefill_demand > most_reading(count) * prefills:
         return prefills + 1
     return prefills if prefills or count < 2 else 1
 
