--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -132,7 +132,7 @@
             instance=instance.id,
             stage=change.stage.value,
             reading=needs and round(needs.prefill_demand, 2),
-            decoding=needs and round(needs.decoding, 2),
+            decoding=needs and round(needs.decode_demand, 2),
             token=token,
             orders=report.orders,
             status=status,
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -126,9 +126,9 @@
     """Return the utilization of a pool's busier stage; decode engines read what no
     prefill engine does."""
     if not prefills:
-        work = needs.prefill_demand / IN_PLACE_SHARE + needs.decoding
+        work = needs.prefill_demand / IN_PLACE_SHARE + needs.decode_demand
         return work / max(1, decoders)
-    return max(needs.prefill_demand / prefills, needs.decoding / max(1, decoders))
+    return max(needs.prefill_demand / prefills, needs.decode_demand / max(1, decoders))
 
 
 def _relieves(prefills, decoders, needs):
@@ -150,13 +150,13 @@
     spare = spare_decoders(count)
     if decoders < spare:
         return max(0, min(prefills - 1, count - spare)) if count > 1 else 0
-    crowded = needs.decoding > MOST_DECODING * decoders
+    crowded = needs.decode_demand > MOST_DECODING * decoders
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
-    idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decoding)
+    idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decode_demand)
     prefill_demand = needs.prefill_demand - min(needs.short, idle)
     can_spare = decoders > spare
-    can_spare = can_spare and needs.decoding <= MOST_DECODING * (decoders - 1)
+    can_spare = can_spare and needs.decode_demand <= MOST_DECODING * (decoders - 1)
     if can_spare and prefill_demand > most_reading(count) * prefills:
         return prefills + 1
     return prefills if prefills or count < 2 else 1
