--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -77,7 +77,7 @@
     """
 
     prefill_demand: float = 0.0
-    decoding: float = 0.0
+    decode_demand: float = 0.0
     short: float = 0.0
 
 
