--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -78,7 +78,7 @@
 
     prefill_demand: float = 0.0
     decode_demand: float = 0.0
-    short: float = 0.0
+    short_prefill_demand: float = 0.0
 
 
 @attrs.define(frozen=True)
@@ -154,7 +154,7 @@
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decode_demand)
-    prefill_demand = needs.prefill_demand - min(needs.short, idle)
+    prefill_demand = needs.prefill_demand - min(needs.short_prefill_demand, idle)
     can_spare = decoders > spare
     can_spare = can_spare and needs.decode_demand <= MOST_DECODING * (decoders - 1)
     if can_spare and prefill_demand > most_reading(count) * prefills:
