--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -18,7 +18,7 @@
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
 from .route_table import RouteTable
-from .stages import MOST_DECODING, StageNeeds, sustainable_streams
+from .stages import MAX_DECODE_UTILIZATION, StageNeeds, sustainable_streams
 from .suspicion import Suspicion
 
 #: Share of the connection cap of an instance that the entry VMs use together;
@@ -186,7 +186,7 @@
         streams = demand.streams * (knowledge.stream_seconds or 0.0)
         places = 0.0
         if spec.slots:
-            places = streams / sustainable_streams(spec.slots) * MOST_DECODING
+            places = streams / sustainable_streams(spec.slots) * MAX_DECODE_UTILIZATION
         memory = 0.0
         if demand.streams and spec.kv_tokens:
             memory = (
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -37,7 +37,7 @@
 LARGE_POOL = 18
 #: Utilization of the decode engines above which one more decodes; their streams
 #: share an engine, and each of them slows the others.
-MOST_DECODING = 0.8
+MAX_DECODE_UTILIZATION = 0.8
 #: Engines from which a pool keeps two decode engines: with one, nothing runs for
 #: as long as a change takes once it is lost.
 SPARE_DECODER_FROM = 3
@@ -150,13 +150,15 @@
     spare = spare_decoders(count)
     if decoders < spare:
         return max(0, min(prefills - 1, count - spare)) if count > 1 else 0
-    crowded = needs.decode_demand > MOST_DECODING * decoders
+    crowded = needs.decode_demand > MAX_DECODE_UTILIZATION * decoders
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decode_demand)
     prefill_demand = needs.prefill_demand - min(needs.short_prefill_demand, idle)
     can_spare = decoders > spare
-    can_spare = can_spare and needs.decode_demand <= MOST_DECODING * (decoders - 1)
+    can_spare = can_spare and needs.decode_demand <= MAX_DECODE_UTILIZATION * (
+        decoders - 1
+    )
     if can_spare and prefill_demand > most_reading(count) * prefills:
         return prefills + 1
     return prefills if prefills or count < 2 else 1
