--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -7,7 +7,7 @@
 from .instances import InstanceRegistry, Stage
 from .peer_loads import LoadTracker
 from .placement import (
-    FAR_MOVE_FACTOR,
+    REMOTE_TRANSFER_FACTOR,
     Placement,
     Plan,
     Pool,
@@ -181,7 +181,7 @@
         link = (
             demand.transferred_tokens
             * spec.transfer_seconds_per_token
-            * FAR_MOVE_FACTOR
+            * REMOTE_TRANSFER_FACTOR
         )
         streams = demand.streams * (knowledge.stream_seconds or 0.0)
         places = 0.0
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -47,7 +47,7 @@
 #: later there: prompts are read in pieces between the tokens of the streams.
 BESIDE_SHARE = 0.1
 #: Multiple of the time of a transfer that it takes to another data centre.
-FAR_MOVE_FACTOR = 2.0
+REMOTE_TRANSFER_FACTOR = 2.0
 #: Readings of a document for whose seconds its owner is preferred while no engine is
 #: known to keep it: VMs that get the same document at the same moment, or have just
 #: started and know nothing, then send it to the engine that has it or soon will. A
@@ -268,7 +268,7 @@
         move = moved * pool.transfer_seconds_per_token
         if source is not None:
             if source.record.data_centre != instance.record.data_centre:
-                move *= FAR_MOVE_FACTOR
+                move *= REMOTE_TRANSFER_FACTOR
         in_place = pool.cost.seconds(load.prefill_tokens) / IN_PLACE_SHARE
         running = max(level, self._running_seconds(instance, pool))
         return running + in_place * BESIDE_SHARE + move + self._distance(instance)
