--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -50,7 +50,7 @@
 #: Seconds for which a pool must lack prefill engines: the average of the demand
 #: has no trend of its own by then, and long prompts are answered late meanwhile. A
 #: large pool that lost no engine needn't wait longer for decode engines either.
-FEW_PREFILLS_SECONDS = 2.0
+PREFILL_SHORTAGE_SECONDS = 2.0
 #: Seconds for which a pool must lack engines of a stage after an engine's notice
 #: that it leaves: that engine won't be back. Its successor, where it is replaced,
 #: has registered before the notice.
@@ -241,12 +241,12 @@
         if self.noticed_at is not None and self.noticed_at >= self.off_since:
             return NOTICED_SECONDS
         if len(prefills) < wanted:
-            return FEW_PREFILLS_SECONDS
+            return PREFILL_SHORTAGE_SECONDS
         lost = self.lost_at is not None
         lost = lost and self.off_since - self.lost_at < FEW_DECODERS_SECONDS
         if lost or len(prefills) + len(decoders) < LARGE_POOL:
             return FEW_DECODERS_SECONDS
-        return FEW_PREFILLS_SECONDS
+        return PREFILL_SHORTAGE_SECONDS
 
     def decide(self, engines, leaving, loads, needs, now):
         """Return a :class:`StageChange`, or None.
--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -12,7 +12,7 @@
 from mulberrydock.lease import Authority, LeaderLease
 from mulberrydock.request import RoutingConfig, ServiceSpec
 from mulberrydock.stage_controller import StageController
-from mulberrydock.stages import FEW_PREFILLS_SECONDS, idle_prefills
+from mulberrydock.stages import PREFILL_SHORTAGE_SECONDS, idle_prefills
 
 
 @attrs.define
@@ -77,6 +77,6 @@
     duty = duty_over(engines, 40)
     assert idle_prefills(40, 12) == 20
     asyncio.run(duty.look(10.0))
-    asyncio.run(duty.look(10.0 + FEW_PREFILLS_SECONDS))
+    asyncio.run(duty.look(10.0 + PREFILL_SHORTAGE_SECONDS))
     assert len(engines.ordered) == at_once
     assert len(set(engines.ordered)) == at_once
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -6,10 +6,10 @@
 from mulberrydock.peer_loads import Load
 from mulberrydock.stages import (
     FEW_DECODERS_SECONDS,
-    FEW_PREFILLS_SECONDS,
     MISSING_SECONDS,
     NOTICED_SECONDS,
     ORDER_SETTLE_SECONDS,
+    PREFILL_SHORTAGE_SECONDS,
     REFUSED_SETTLE_SECONDS,
     REPEAT_SECONDS,
     UNANSWERED_SETTLE_SECONDS,
@@ -108,17 +108,17 @@
         ((D, D, D), CALM, MISSING_SECONDS / 2, None),
         ((D, D, D), CALM, MISSING_SECONDS, ("e1", P)),
         ((P, P, P), CALM, MISSING_SECONDS, ("e1", D)),
-        ((P, D, D, D, D), HEAVY, FEW_PREFILLS_SECONDS / 2, None),
-        ((P, D, D, D, D), HEAVY, FEW_PREFILLS_SECONDS, ("e1", P)),
+        ((P, D, D, D, D), HEAVY, PREFILL_SHORTAGE_SECONDS / 2, None),
+        ((P, D, D, D, D), HEAVY, PREFILL_SHORTAGE_SECONDS, ("e1", P)),
         ((P, P, P, D), CALM, FEW_DECODERS_SECONDS / 2, None),
         ((P, P, P, D), CALM, FEW_DECODERS_SECONDS, ("e1", D)),
         # Answers have grown: a small pool waits longer than a large one.
-        ((P, P, P, D, D, D), GROWN, FEW_PREFILLS_SECONDS, None),
+        ((P, P, P, D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS, None),
         ((P, P, P, D, D, D), GROWN, FEW_DECODERS_SECONDS, ("e1", D)),
-        ((P,) * 17 + (D, D, D), GROWN, FEW_PREFILLS_SECONDS / 2, None),
-        ((P,) * 17 + (D, D, D), GROWN, FEW_PREFILLS_SECONDS, ("e1", D)),
+        ((P,) * 17 + (D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS / 2, None),
+        ((P,) * 17 + (D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS, ("e1", D)),
         ((D,), HEAVY, 60.0, None),
-        ((D, D, D, D, P), None, FEW_PREFILLS_SECONDS, ("e1", P)),
+        ((D, D, D, D, P), None, PREFILL_SHORTAGE_SECONDS, ("e1", P)),
     ],
 )
 def test_change_after_patience(stages, needs, seconds, changed):
@@ -133,7 +133,7 @@
     assert (change and (change.instance.id, change.stage)) == changed
 
 
-@pytest.mark.parametrize("seconds", [FEW_PREFILLS_SECONDS, FEW_DECODERS_SECONDS])
+@pytest.mark.parametrize("seconds", [PREFILL_SHORTAGE_SECONDS, FEW_DECODERS_SECONDS])
 def test_crashed_decode_engine_is_waited_for(seconds):
     """A decode engine of a large pool crashes while many streams run. It is back in
     its stage within seconds; a change of another one would take as long, and once
@@ -162,7 +162,7 @@
         (5.0, NOTICED_SECONDS, True),
         # The notice was about an engine that left long ago.
         (1.0, NOTICED_SECONDS, False),
-        (1.0, FEW_PREFILLS_SECONDS, True),
+        (1.0, PREFILL_SHORTAGE_SECONDS, True),
     ],
 )
 def test_pool_whose_engine_gave_notice_is_mended_at_once(left_at, seconds, changed):
@@ -227,9 +227,9 @@
     planner.decide(engines, False, {}, HEAVY, 0.0)
     ordered = 0
     for _ in range(count):
-        change = planner.decide(engines, False, {}, HEAVY, FEW_PREFILLS_SECONDS)
+        change = planner.decide(engines, False, {}, HEAVY, PREFILL_SHORTAGE_SECONDS)
         if change is not None:
-            planner.record_order(change, ORDER_SETTLE_SECONDS, FEW_PREFILLS_SECONDS)
+            planner.record_order(change, ORDER_SETTLE_SECONDS, PREFILL_SHORTAGE_SECONDS)
             ordered += 1
     assert ordered == at_once
 
