--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -9,7 +9,7 @@
 #: Seconds for which an instance is passed over after its first failure, and
 #: the longest such time; each further failure doubles it. A crashed engine is
 #: back after 2 to 5 s, so a probe by one request every few seconds is enough.
-FIRST_HOLD_SECONDS = 1.0
+FIRST_SUSPICION_SECONDS = 1.0
 LONGEST_HOLD_SECONDS = 8.0
 #: Failures in a row, without an answer between, before the first hold: single
 #: failures (a lost answer, a spoiled one) happen at sound instances too.
@@ -56,7 +56,7 @@
         steps = standing.failures - tolerated - 1
         if steps < 0:
             return False
-        hold = min(FIRST_HOLD_SECONDS * 2**steps, LONGEST_HOLD_SECONDS)
+        hold = min(FIRST_SUSPICION_SECONDS * 2**steps, LONGEST_HOLD_SECONDS)
         standing.suspect_until = now + hold
         return True
 
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -19,7 +19,7 @@
 from mulberrydock.route_table import RouteTable
 from mulberrydock.sse import EventSplitter
 from mulberrydock.stage_controller import StageController
-from mulberrydock.suspicion import FIRST_HOLD_SECONDS, Suspicion
+from mulberrydock.suspicion import FIRST_SUSPICION_SECONDS, Suspicion
 
 
 def record(instance_id, draining=False):
@@ -122,7 +122,7 @@
     pool = known.serving("s")
     sound = {i.id for i in suspicion.healthy(pool, 10.1)}
     assert sound == ({"b"} if suspected else {"a", "b"})
-    later = 10.0 + FIRST_HOLD_SECONDS + 0.1
+    later = 10.0 + FIRST_SUSPICION_SECONDS + 0.1
     assert len(suspicion.healthy(pool, later)) == 2
     suspicion.record_failure("a", 20.0, unreachable)
     suspicion.record_success("a")
