--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -14,7 +14,7 @@
     is_short,
     request_hash_fraction,
 )
-from .prefill_cost import IN_PLACE_SHARE
+from .prefill_cost import IN_PLACE_SPEED_RATIO
 from .quarantine import Quarantine
 from .rate_limits import RateLimits
 from .route_table import RouteTable
@@ -165,7 +165,7 @@
         """Return the utilization of ``count`` decode engines."""
         in_place = (
             knowledge.cost_model.cost.seconds(demand.decode_engine_work)
-            / IN_PLACE_SHARE
+            / IN_PLACE_SPEED_RATIO
         )
         decoding = self._decoding(knowledge, demand, spec) if spec else 0.0
         return (in_place + decoding) / max(1, count)
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -11,7 +11,7 @@
 
 from .fill_level import fill_level
 from .peer_loads import Load
-from .prefill_cost import IN_PLACE_SHARE
+from .prefill_cost import IN_PLACE_SPEED_RATIO
 from .rendezvous import rank
 
 #: Seconds that a hand-over costs beside the prefill and the moved KV cache: two
@@ -158,7 +158,7 @@
 
     :param reading: seconds that a prefill engine takes for it.
     """
-    return reading / IN_PLACE_SHARE <= READING_STEPS[0] * objective
+    return reading / IN_PLACE_SPEED_RATIO <= READING_STEPS[0] * objective
 
 
 def owner(key, instances):
@@ -269,7 +269,7 @@
         if source is not None:
             if source.record.data_centre != instance.record.data_centre:
                 move *= REMOTE_TRANSFER_FACTOR
-        in_place = pool.cost.seconds(load.prefill_tokens) / IN_PLACE_SHARE
+        in_place = pool.cost.seconds(load.prefill_tokens) / IN_PLACE_SPEED_RATIO
         running = max(level, self._running_seconds(instance, pool))
         return running + in_place * BESIDE_SHARE + move + self._distance(instance)
 
@@ -290,13 +290,21 @@
         if not pool.prefills:
             return in_place
         cost, handed_over = self._handed_over(prompt, route, drawn, pool)
-        short = is_short(in_place.reading * IN_PLACE_SHARE, route.latency_objective)
+        short = is_short(
+            in_place.reading * IN_PLACE_SPEED_RATIO, route.latency_objective
+        )
         return in_place if short and in_place_cost < cost else handed_over
 
     def _in_place(self, prompt, route, drawn, pool):
         """Return (cost, :class:`Plan`) of reading by a decode engine."""
         options = self._options(
-            prompt, route, 1.0, pool.decoders, pool, pool.decoders_busy, IN_PLACE_SHARE
+            prompt,
+            route,
+            1.0,
+            pool.decoders,
+            pool,
+            pool.decoders_busy,
+            IN_PLACE_SPEED_RATIO,
         )
         level = self._running_level(pool)
         rows = []
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -53,7 +53,7 @@
 #: Speed of a decode engine that reads a prompt itself, as a share of a prefill
 #: engine's: half of it, in pieces of a quarter of the size that each wait for a
 #: step of the streams beside.
-IN_PLACE_SHARE = 0.4
+IN_PLACE_SPEED_RATIO = 0.4
 
 
 @attrs.define(frozen=True)
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -13,7 +13,7 @@
 
 from .instances import Stage
 from .peer_loads import Load
-from .prefill_cost import IN_PLACE_SHARE
+from .prefill_cost import IN_PLACE_SPEED_RATIO
 
 #: Share of a pool's engines that decode while nothing is known of its mix: a
 #: change costs nothing before the first request. Prompts take engines, answers
@@ -126,7 +126,7 @@
     """Return the utilization of a pool's busier stage; decode engines read what no
     prefill engine does."""
     if not prefills:
-        work = needs.prefill_demand / IN_PLACE_SHARE + needs.decode_demand
+        work = needs.prefill_demand / IN_PLACE_SPEED_RATIO + needs.decode_demand
         return work / max(1, decoders)
     return max(needs.prefill_demand / prefills, needs.decode_demand / max(1, decoders))
 
@@ -153,7 +153,7 @@
     crowded = needs.decode_demand > MAX_DECODE_UTILIZATION * decoders
     if prefills and crowded and _relieves(prefills, decoders, needs):
         return prefills - 1
-    idle = IN_PLACE_SHARE * max(0.0, decoders - needs.decode_demand)
+    idle = IN_PLACE_SPEED_RATIO * max(0.0, decoders - needs.decode_demand)
     prefill_demand = needs.prefill_demand - min(needs.short_prefill_demand, idle)
     can_spare = decoders > spare
     can_spare = can_spare and needs.decode_demand <= MAX_DECODE_UTILIZATION * (
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -18,7 +18,7 @@
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import LoadTracker, PeerReport
 from mulberrydock.placement import Placement, Pool, request_hash_fraction
-from mulberrydock.prefill_cost import IN_PLACE_SHARE, PrefillCost
+from mulberrydock.prefill_cost import IN_PLACE_SPEED_RATIO, PrefillCost
 from mulberrydock.prefix_cache import PrefixCacheIndex
 
 #: Seconds after which a VM's counts and reads reach its peers in a small fleet.
@@ -134,7 +134,7 @@
         self.vms = [EntryVm(f"vm{n}") for n in range(vms)]
         for stage, count, share in (
             (Stage.PREFILL, prefills, 1.0),
-            (Stage.DECODE, decoders, IN_PLACE_SHARE),
+            (Stage.DECODE, decoders, IN_PLACE_SPEED_RATIO),
         ):
             for n in range(count):
                 name = f"{stage.value}{n}"
