--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -118,7 +118,7 @@
             headers[KV_SOURCE] = f"{source.address}/{source.id}"
         return headers
 
-    def read_marks(self, headers):
+    def read_metadata(self, headers):
         return ResponseMetadata(
             request_id=headers.get(ATTEMPT_ID, ""),
             instance=headers.get(INSTANCE_ID, ""),
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -22,7 +22,7 @@
         """Return the headers of one send, from :class:`SendOptions`."""
 
     @abc.abstractmethod
-    def read_marks(self, headers):
+    def read_metadata(self, headers):
         """Return the :class:`~mulberrydock.request.ResponseMetadata` of an answer."""
 
     @abc.abstractmethod
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -103,7 +103,7 @@
         # A refused prefill call counts as a repeat, the first as well.
         self.fleet.budget(self.service).spend(now)
         reason = f"prefill status {answer.status}"
-        marks = wire.read_marks(answer.headers)
+        marks = wire.read_metadata(answer.headers)
         if answer.status == 421:
             self.fleet.misdirected(self.engine, marks.instance, now)
         elif marks.not_executed:
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -91,7 +91,7 @@
 
     def _accept(self, instance, request, sent_at, headers):
         """Return whether an answer is one to ``request``; learn a limit from it."""
-        marks = self.wire.read_marks(headers)
+        marks = self.wire.read_metadata(headers)
         if marks.request_id not in ("", request.id):
             return False
         own = marks.instance in ("", instance.record.id)
@@ -102,7 +102,7 @@
         return True
 
     def _keep_alive(self, headers):
-        marks = self.wire.read_marks(headers)
+        marks = self.wire.read_metadata(headers)
         return 0 if marks.closing else marks.keep_alive_seconds
 
     def _apart(self, coroutine):
--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -91,7 +91,7 @@
     def on_headers(self, status, headers):
         self.status = status
         self.headers = headers
-        self.marks = self.wire.read_marks(headers)
+        self.marks = self.wire.read_metadata(headers)
 
     @property
     def good(self):
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -206,7 +206,7 @@
         work = self.fleet.loads.begin(plan.target.id, 0)
         if not await self._send(plan, answer, work, patience):
             return False
-        return self._take_whole(plan, answer, self.wire.read_marks(answer.headers))
+        return self._take_whole(plan, answer, self.wire.read_metadata(answer.headers))
 
     async def _stream(self, plan):
         """One run of a streamed request; True when the client was answered."""
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -154,7 +154,7 @@
         self.calls += 1
         listener.on_headers(self.status, HTTPHeaders())
 
-    def read_marks(self, headers):
+    def read_metadata(self, headers):
         return ResponseMetadata("", "", False, True, None, False)
 
     async def prefill(self):
