--- a/src/mulberrydock/connections.py
+++ b/src/mulberrydock/connections.py
@@ -277,10 +277,10 @@
         connection = await self.acquire(time.monotonic())
         kept = False
         try:
-            answer_headers, complete = await self._run(
+            response_headers, complete = await self._run(
                 connection, method, target, headers, body, listener, accepts
             )
-            kept = complete and self._keep(connection, answer_headers, keep_alive)
+            kept = complete and self._keep(connection, response_headers, keep_alive)
         finally:
             # Also on cancellation: closing tells the peer to stop its work.
             if not kept:
--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -129,7 +129,7 @@
             limit=_limit(headers),
         )
 
-    def answer_headers(self, headers):
+    def response_headers(self, headers):
         """Return an upstream's end-to-end headers as (name, value) pairs."""
         return _end_to_end(headers, frozenset())
 
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -26,7 +26,7 @@
         """Return the :class:`~mulberrydock.request.ResponseMetadata` of an answer."""
 
     @abc.abstractmethod
-    def answer_headers(self, headers):
+    def response_headers(self, headers):
         """Return an answer's headers to pass on, as (name, value) pairs."""
 
     @abc.abstractmethod
--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -150,5 +150,5 @@
         """Pass whole events on, with the headers before the first."""
         if not self.begun:
             self.begun_at = time.monotonic()
-            self.sink.begin(status, self.wire.answer_headers(headers))
+            self.sink.begin(status, self.wire.response_headers(headers))
         return self.sink.write(events)
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -371,7 +371,7 @@
             return None
 
     def _respond(self, answer):
-        headers = self.wire.answer_headers(answer.headers)
+        headers = self.wire.response_headers(answer.headers)
         self.sink.respond(answer.status, headers, answer.body)
 
     def _give_up(self):
