--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -140,7 +140,7 @@
         except (ValueError, KeyError, TypeError) as error:
             raise UpstreamError(f"prefill answer: {error!r}") from error
 
-    def release(self, handle):
+    def release_call(self, handle):
         return UpstreamCall(
             "DELETE", f"/kv-handle/{handle.id}", {"Host": handle.address}
         )
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -37,7 +37,7 @@
         """
 
     @abc.abstractmethod
-    def release(self, handle):
+    def release_call(self, handle):
         """Return the :class:`UpstreamCall` that frees ``handle``."""
 
     @abc.abstractmethod
