--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -137,7 +137,7 @@
         self._apart(self._release(engine, handle))
 
     async def _release(self, engine, handle):
-        await self.call(engine, self.wire.release(handle), RELEASE_SECONDS)
+        await self.call(engine, self.wire.release_call(handle), RELEASE_SECONDS)
 
     async def call(self, instance, call, seconds):
         """Make one :class:`~mulberrydock.request.UpstreamCall` at an instance.
