--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -145,7 +145,7 @@
             "DELETE", f"/kv-handle/{handle.id}", {"Host": handle.address}
         )
 
-    def report(self, record):
+    def report_call(self, record):
         return UpstreamCall(
             "GET",
             "/report",
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -41,7 +41,7 @@
         """Return the :class:`UpstreamCall` that frees ``handle``."""
 
     @abc.abstractmethod
-    def report(self, record):
+    def report_call(self, record):
         """Return the :class:`UpstreamCall` that asks for an engine's report."""
 
     @abc.abstractmethod
