--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -30,7 +30,7 @@
     status: int
     ordered: list = attrs.field(factory=list)
 
-    def report(self, record):
+    def report_call(self, record):
         return "report"
 
     def read_report(self, body):
