--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -102,7 +102,7 @@
     async def order(self, change, needs, now):
         """Send one order; return for how many seconds it may be at work."""
         instance = change.instance
-        call = self.wire.report(instance.record)
+        call = self.wire.report_call(instance.record)
         report = await self.relay.call(instance, call, ORDER_SECONDS)
         if report is None or report.status != 200:
             return stages.REFUSED_SETTLE_SECONDS
