--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -155,7 +155,7 @@
     def read_report(self, body):
         return read_report(body)
 
-    def stage_order(self, record, stage, orders, holder, token):
+    def stage_order_call(self, record, stage, orders, holder, token):
         body = {
             "op": "stage",
             "stage": stage,
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -52,7 +52,7 @@
         """
 
     @abc.abstractmethod
-    def stage_order(self, record, stage, orders, holder, token):
+    def stage_order_call(self, record, stage, orders, holder, token):
         """Return the :class:`UpstreamCall` that orders a stage.
 
         :param record: the engine's :class:`InstanceRecord`; the order is void
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -122,7 +122,7 @@
             return 0.0
         token = self.lease.authority.token
         self.fleet.loads.cordon(instance.id, now + CHANGE_SECONDS)
-        call = self.wire.stage_order(
+        call = self.wire.stage_order_call(
             instance.record, change.stage.value, report.orders, self.name, token
         )
         answer = await self.relay.call(instance, call, ORDER_SECONDS)
--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -36,7 +36,7 @@
     def read_report(self, body):
         return EngineReport(Stage.DECODE, False, 0)
 
-    def stage_order(self, record, stage, orders, holder, token):
+    def stage_order_call(self, record, stage, orders, holder, token):
         return (record.id, stage)
 
     async def revoke(self, lease):
