--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -57,7 +57,7 @@
         latency_objective=objective,
         gap_objective=gap,
         # No field of its own: clients derive it from the two objectives.
-        patience=max(LEAST_PATIENCE_SECONDS, 4 * objective, 8 * gap),
+        client_idle_timeout=max(LEAST_PATIENCE_SECONDS, 4 * objective, 8 * gap),
         priority=int(row.get("priority", 0)),
         max_attempts=int(row.get("max_attempts", 1)),
         resumable=bool(row.get("resumable", False)),
--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -35,7 +35,7 @@
     """A declared route: which requests it takes and how they are served.
 
     ``timeout``, ``latency_objective`` and ``gap_objective`` are seconds;
-    ``patience`` are the seconds without an event after which clients give a
+    ``client_idle_timeout`` are the seconds without an event after which clients give a
     stream up; ``priority`` is 0 for the most urgent; ``max_attempts`` counts
     upstreams that one request may be sent to.
     """
@@ -51,7 +51,7 @@
     priority: int
     max_attempts: int
     resumable: bool
-    patience: float = math.inf
+    client_idle_timeout: float = math.inf
 
     @property
     def repeatable(self):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -221,7 +221,9 @@
 def test_half_of_the_prompts_that_wait_too_long_for_their_size_are_spared(
     reading, waits, spared
 ):
-    route = attrs.evolve(ROUTE, latency_objective=0.6, priority=2, patience=2.4)
+    route = attrs.evolve(
+        ROUTE, latency_objective=0.6, priority=2, client_idle_timeout=2.4
+    )
     drawn = [request_hash_fraction(f"request-{number}") for number in range(400)]
     load = Load(1, (int(waits / COST.token),))
     urgencies = [prefill_urgency(reading, route, d, load, COST) for d in drawn]
