--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -147,7 +147,7 @@
     if urgency == priority or drawn >= SPARED_SHARE:
         return urgency
     wait = cost.seconds(load.ahead(urgency)) + reading
-    if wait <= SPARED_WAIT_SHARE * route.patience:
+    if wait <= SPARED_WAIT_SHARE * route.client_idle_timeout:
         return urgency
     # Among the others of its route it would still lose: they need less time to be read.
     return max(0, priority - 1)
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -117,7 +117,7 @@
             return None
         most_urgent = self.fleet.most_urgent(self.route, self.service)
         left = self._left(now)
-        return refusal.refuse(plan, self.route.patience, most_urgent, left)
+        return refusal.refuse(plan, self.route.client_idle_timeout, most_urgent, left)
 
     async def _attempts(self):
         attempt = self._stream if self.route.kind is Kind.STREAMING else self._call
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -205,7 +205,7 @@
         job.plan = vm.placement.plan(
             job.prompt, job.route, pool, request_hash_fraction(job.name)
         )
-        patience, left = job.route.patience, job.route.timeout
+        patience, left = job.route.client_idle_timeout, job.route.timeout
         if refusal.refuse(job.plan, patience, True, left) is not None:
             job.refused = True
             return
