--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -77,7 +77,7 @@
     transfer_seconds_per_token: float = 0.0
 
     @property
-    def is_engine(self):
+    def is_engine_pool(self):
         """True for a pool of model engines."""
         return self.kv_tokens > 0
 
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -74,7 +74,7 @@
             # Records that lapsed with the store may be back in a moment.
             return
         for service in config.services.values():
-            if service.is_engine:
+            if service.is_engine_pool:
                 await self._look_at(service, now)
 
     async def _look_at(self, service, now):
