--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -302,7 +302,7 @@
         quarantined = False
         for attempt in range(MAX_ATTEMPTS):
             now = time.monotonic()
-            quarantined = self.daemon.crashes.holds(self.fingerprint)
+            quarantined = self.daemon.crashes.is_quarantined(self.fingerprint)
             if quarantined:
                 cause = "engines crashed under it"
                 break
--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -30,9 +30,9 @@
         book = Quarantine()
         return cls(book, QuarantineSync(book, store, name, on_duty))
 
-    def holds(self, work):
+    def is_quarantined(self, work):
         """True when ``work``, a fingerprint, must not be sent to any upstream."""
-        return self.book.holds(work, time.monotonic())
+        return self.book.is_quarantined(work, time.monotonic())
 
     async def failed(self, work, upstream, call, error):
         """A call for ``work`` failed with ``error``: note it if the upstream crashed.
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -143,7 +143,7 @@
     async def run(self, now):
         """Make the call and return the :class:`Outcome` for the caller."""
         crashes = self.daemon.crashes
-        if crashes.holds(self.fingerprint):
+        if crashes.is_quarantined(self.fingerprint):
             return _quarantined()
         outcome = None
         try:
@@ -308,7 +308,7 @@
                 router.record_failure(service, time.monotonic())
                 may_have_run |= error.code != ResultCode.NOT_RUN
                 await self._examine(service, error)
-                if self.daemon.crashes.holds(self.fingerprint):
+                if self.daemon.crashes.is_quarantined(self.fingerprint):
                     break
                 continue
             return Outcome(status, ResultCode.OK, body)
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -113,7 +113,7 @@
             self.stored.get(work, {}).keys() | self.unwritten.get(work, {}).keys()
         )
 
-    def holds(self, work, now):
+    def is_quarantined(self, work, now):
         """True when ``work`` must not be sent to any instance."""
         return self.count(work) >= CRASH_LIMIT and not self._served(work, now)
 
@@ -144,7 +144,7 @@
             fingerprint=work,
             instance=incarnation,
             crashes=self.count(work),
-            quarantined=self.holds(work, now),
+            quarantined=self.is_quarantined(work, now),
         )
 
     def apply_peer_crash(self, crash, spread, now):
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -153,7 +153,7 @@
         """True when instances crash under this request's work: asked before every
         call, as another VM may have seen the last crash a moment ago."""
         quarantine, work = self.fleet.quarantine, self.request.fingerprint
-        if not quarantine.holds(work, now):
+        if not quarantine.is_quarantined(work, now):
             return False
         self.cause = f"{quarantine.count(work)} instances crashed under it"
         return True
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -130,8 +130,8 @@
     book = Quarantine()
     for now, event in events:
         event(book, now)
-    assert book.holds(WORK, 100.0) is held
-    assert not book.holds(OTHER, 100.0)
+    assert book.is_quarantined(WORK, 100.0) is held
+    assert not book.is_quarantined(OTHER, 100.0)
 
 
 @pytest.mark.parametrize(
@@ -291,7 +291,7 @@
         vm = keeper(store)
         vm.book.record_crash(WORK, instance, 1.0)
         assert step(vm, 3.0)
-    assert load(store).book.holds(WORK, 5.0)
+    assert load(store).book.is_quarantined(WORK, 5.0)
 
 
 def test_store_that_was_away_gets_what_it_missed():
@@ -302,7 +302,7 @@
     vm = keeper(store)
     crashed("a", "b", "c")(vm.book, 1.0)
     assert not step(vm, 3.0)
-    assert vm.book.holds(WORK, 3.0)
+    assert vm.book.is_quarantined(WORK, 3.0)
     store.failing = False
     assert step(vm, 4.0)
     assert (len(store.values), store.calls) == (CRASH_LIMIT, 2)
@@ -320,9 +320,9 @@
     for crash in cut_off.book.take_updates(1.1):
         peer.book.apply_peer_crash(crash, 0.0, 1.1)
     crashed("c")(peer.book, 1.2)
-    assert peer.book.holds(WORK, 1.2)
+    assert peer.book.is_quarantined(WORK, 1.2)
     assert step(peer, 1.1 + HEARD_SECONDS)
-    assert load(store).book.holds(WORK, 5.0)
+    assert load(store).book.is_quarantined(WORK, 5.0)
 
 
 def test_work_that_is_served_is_cleared_for_all():
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -221,7 +221,7 @@
     for crash in crashes if served else crashes[:1]:
         book.apply(crash.key, 1000.0)
     book.loaded(0.5, now)
-    assert book.holds("w", now) is not served
+    assert book.is_quarantined("w", now) is not served
     if served:
         assert book.removals == set(crashes)
         return
