--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -188,7 +188,7 @@
         if stored:
             logger.info("cleared of crashes", fingerprint=work, crashes=len(stored))
 
-    def due(self, now):
+    def due_writes(self, now):
         """Return the crashes that are to be written to the store."""
         return [
             Crash(work, instance)
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -53,7 +53,7 @@
 
     async def step(self, now, unix_now):
         """Write what is due; True unless the store failed."""
-        puts = self.book.due(now)[:CHANGES_A_CALL]
+        puts = self.book.due_writes(now)[:CHANGES_A_CALL]
         self._expire(now, unix_now)
         removals = list(self.book.removals)[: CHANGES_A_CALL - len(puts)]
         if not puts and not removals:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -154,10 +154,10 @@
     for now, event in events:
         event(book, now)
     crash = Crash.of(WORK, "a")
-    assert book.due(100.0) == ([crash] if written_at else [])
+    assert book.due_writes(100.0) == ([crash] if written_at else [])
     if written_at:
-        assert book.due(written_at - 0.01) == []
-        assert book.due(written_at) == [crash]
+        assert book.due_writes(written_at - 0.01) == []
+        assert book.due_writes(written_at) == [crash]
 
 
 def test_peers_are_told_often_enough_for_a_lost_message():
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -225,5 +225,5 @@
     if served:
         assert book.removals == set(crashes)
         return
-    assert not book.due(now)
-    assert set(book.due(now + 2 * HEARD_SECONDS)) == set(crashes[1:])
+    assert not book.due_writes(now)
+    assert set(book.due_writes(now + 2 * HEARD_SECONDS)) == set(crashes[1:])
