--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -22,13 +22,13 @@
     keeper: QuarantineSync
 
     @classmethod
-    def from_store(cls, store, name, on_duty):
+    def from_store(cls, store, name, is_leader):
         """Build over ``store`` for the entry called ``name``.
 
-        :param on_duty: returns True at the one entry that removes what is old.
+        :param is_leader: returns True at the one entry that removes what is old.
         """
         book = Quarantine()
-        return cls(book, QuarantineSync(book, store, name, on_duty))
+        return cls(book, QuarantineSync(book, store, name, is_leader))
 
     def is_quarantined(self, work):
         """True when ``work``, a fingerprint, must not be sent to any upstream."""
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -29,13 +29,13 @@
     """Keeps the store in step with a :class:`~mulberrydock.quarantine.Quarantine`.
 
     :param name: this VM's name, for those who read the records.
-    :param on_duty: returns True on the one VM that removes what is old.
+    :param is_leader: returns True on the one VM that removes what is old.
     """
 
     book: object
     store: object
     name: str
-    on_duty: object
+    is_leader: object
     expired_at: float = 0.0
 
     def apply(self, key, value, revision):
@@ -80,7 +80,7 @@
         )
 
     def _expire(self, now, unix_now):
-        if now - self.expired_at < EXPIRY_SECONDS or not self.on_duty():
+        if now - self.expired_at < EXPIRY_SECONDS or not self.is_leader():
             return
         self.expired_at = now
         self.book.removals.update(self.book.expired(unix_now))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -265,8 +265,8 @@
         return Ok(self.calls)
 
 
-def keeper(store, on_duty=False):
-    return QuarantineSync(Quarantine(), store, "entry-1", lambda: on_duty)
+def keeper(store, is_leader=False):
+    return QuarantineSync(Quarantine(), store, "entry-1", lambda: is_leader)
 
 
 def load(store):
@@ -342,9 +342,9 @@
     crashed("a")(vm.book, 1.0)
     step(vm, 3.0)
     late = 1000.0 + SUSPICION_KEPT_SECONDS + 1
-    for on_duty, left in ((False, 1), (True, 0)):
+    for is_leader, left in ((False, 1), (True, 0)):
         fresh = load(store)
-        fresh.on_duty = lambda: on_duty
+        fresh.is_leader = lambda: is_leader
         step(fresh, 100.0, late)
         assert len(store.values) == left
 
