--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -18,7 +18,7 @@
 class CrashGuard:
     """Knows the work that crashes upstreams; ``keeper`` writes it to the store."""
 
-    book: Quarantine
+    quarantine: Quarantine
     keeper: QuarantineSync
 
     @classmethod
@@ -27,12 +27,12 @@
 
         :param is_leader: returns True at the one entry that removes what is old.
         """
-        book = Quarantine()
-        return cls(book, QuarantineSync(book, store, name, is_leader))
+        quarantine = Quarantine()
+        return cls(quarantine, QuarantineSync(quarantine, store, name, is_leader))
 
     def is_quarantined(self, work):
         """True when ``work``, a fingerprint, must not be sent to any upstream."""
-        return self.book.is_quarantined(work, time.monotonic())
+        return self.quarantine.is_quarantined(work, time.monotonic())
 
     async def failed(self, work, upstream, call, error):
         """A call for ``work`` failed with ``error``: note it if the upstream crashed.
@@ -45,8 +45,10 @@
         accepts = await pool.accepts(time.monotonic())
         pool.close()
         if accepts is False:
-            self.book.record_crash(work, f"{upstream.name}/{call}", time.monotonic())
+            self.quarantine.record_crash(
+                work, f"{upstream.name}/{call}", time.monotonic()
+            )
 
     def ended(self, work, served):
         """The request for ``work`` is over; ``served`` when it was answered."""
-        self.book.record_request_end(work, served, time.monotonic())
+        self.quarantine.record_request_end(work, served, time.monotonic())
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -32,7 +32,7 @@
     :param is_leader: returns True on the one VM that removes what is old.
     """
 
-    book: object
+    quarantine: object
     store: object
     name: str
     is_leader: object
@@ -41,7 +41,7 @@
     def apply(self, key, value, revision):
         """Take a record, or its removal when ``value`` is None."""
         if value is None:
-            self.book.apply(key, None)
+            self.quarantine.apply(key, None)
             return
         try:
             record = records.decode(records.CrashRecord, value)
@@ -49,13 +49,13 @@
         except Exception as error:  # capnp and base64 raise their own types
             logger.warning("crash record refused", key=key, error=repr(error))
             return
-        self.book.apply(key, written_at)
+        self.quarantine.apply(key, written_at)
 
     async def step(self, now, unix_now):
         """Write what is due; True unless the store failed."""
-        puts = self.book.due_writes(now)[:CHANGES_A_CALL]
+        puts = self.quarantine.due_writes(now)[:CHANGES_A_CALL]
         self._expire(now, unix_now)
-        removals = list(self.book.removals)[: CHANGES_A_CALL - len(puts)]
+        removals = list(self.quarantine.removals)[: CHANGES_A_CALL - len(puts)]
         if not puts and not removals:
             return True
         written = await self._write(puts, removals, unix_now)
@@ -65,9 +65,9 @@
                 raise error
             logger.warning("crashes not written", crashes=len(puts), error=str(error))
             return False
-        self.book.removals.difference_update(removals)
+        self.quarantine.removals.difference_update(removals)
         for crash in puts:
-            self.book.apply(crash.key, unix_now)
+            self.quarantine.apply(crash.key, unix_now)
             logger.info("crash written", fingerprint=crash.work, revision=written.ok)
         return True
 
@@ -83,7 +83,7 @@
         if now - self.expired_at < EXPIRY_SECONDS or not self.is_leader():
             return
         self.expired_at = now
-        self.book.removals.update(self.book.expired(unix_now))
+        self.quarantine.removals.update(self.quarantine.expired(unix_now))
 
     async def run(self):
         """Write for ever."""
