--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -62,8 +62,8 @@
             store,
             defaults.CRASH_PREFIX,
             self.crashes.keeper.apply,
-            self.crashes.book.reset,
-            self.crashes.book.loaded,
+            self.crashes.quarantine.reset,
+            self.crashes.quarantine.loaded,
         )
         self.settling = set()
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -139,7 +139,7 @@
         daemon = daemon_of([engine])
         work = fingerprint("completions", "tenant", CRASHING)
         for number in range(CRASH_LIMIT):
-            daemon.crashes.book.apply(Crash.of(work, f"x{number}").key, 1000.0)
+            daemon.crashes.quarantine.apply(Crash.of(work, f"x{number}").key, 1000.0)
         code = await completion(daemon, CRASHING)
         engine.server.close()
         return code, engine.calls
@@ -157,7 +157,7 @@
             address = "127.0.0.1:%d" % closed.getsockname()[1]
             upstream = Upstream("e0", address, "dc1")
             await guard.failed("work", upstream, "1", ValueError("silent"))
-        return guard.book.count("work")
+        return guard.quarantine.count("work")
 
     assert asyncio.run(run()) == 0
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -272,10 +272,10 @@
 def load(store):
     """Return the keeper of a VM that has just started and read the store."""
     fresh = keeper(store)
-    fresh.book.reset()
+    fresh.quarantine.reset()
     for key, value in store.values.items():
         fresh.apply(key, value, 1)
-    fresh.book.loaded(0.0, 0.0)
+    fresh.quarantine.loaded(0.0, 0.0)
     return fresh
 
 
@@ -289,9 +289,9 @@
     store = Store()
     for instance in ("a", "b", "c"):
         vm = keeper(store)
-        vm.book.record_crash(WORK, instance, 1.0)
+        vm.quarantine.record_crash(WORK, instance, 1.0)
         assert step(vm, 3.0)
-    assert load(store).book.is_quarantined(WORK, 5.0)
+    assert load(store).quarantine.is_quarantined(WORK, 5.0)
 
 
 def test_store_that_was_away_gets_what_it_missed():
@@ -300,9 +300,9 @@
     store = Store()
     store.failing = True
     vm = keeper(store)
-    crashed("a", "b", "c")(vm.book, 1.0)
+    crashed("a", "b", "c")(vm.quarantine, 1.0)
     assert not step(vm, 3.0)
-    assert vm.book.is_quarantined(WORK, 3.0)
+    assert vm.quarantine.is_quarantined(WORK, 3.0)
     store.failing = False
     assert step(vm, 4.0)
     assert (len(store.values), store.calls) == (CRASH_LIMIT, 2)
@@ -315,23 +315,23 @@
     store, away = Store(), Store()
     away.failing = True
     cut_off, peer = keeper(away), keeper(store)
-    crashed("a", "b")(cut_off.book, 1.0)
-    failed(cut_off.book, 1.0)
-    for crash in cut_off.book.take_updates(1.1):
-        peer.book.apply_peer_crash(crash, 0.0, 1.1)
-    crashed("c")(peer.book, 1.2)
-    assert peer.book.is_quarantined(WORK, 1.2)
+    crashed("a", "b")(cut_off.quarantine, 1.0)
+    failed(cut_off.quarantine, 1.0)
+    for crash in cut_off.quarantine.take_updates(1.1):
+        peer.quarantine.apply_peer_crash(crash, 0.0, 1.1)
+    crashed("c")(peer.quarantine, 1.2)
+    assert peer.quarantine.is_quarantined(WORK, 1.2)
     assert step(peer, 1.1 + HEARD_SECONDS)
-    assert load(store).book.is_quarantined(WORK, 5.0)
+    assert load(store).quarantine.is_quarantined(WORK, 5.0)
 
 
 def test_work_that_is_served_is_cleared_for_all():
     store = Store()
     vm = keeper(store)
-    crashed("a", "b")(vm.book, 1.0)
+    crashed("a", "b")(vm.quarantine, 1.0)
     assert step(vm, 3.0)
     other = load(store)
-    served()(other.book, 4.0)
+    served()(other.quarantine, 4.0)
     assert step(other, 4.0)
     assert store.values == {}
 
@@ -339,7 +339,7 @@
 def test_old_crashes_are_removed_by_the_vm_on_duty():
     store = Store()
     vm = keeper(store)
-    crashed("a")(vm.book, 1.0)
+    crashed("a")(vm.quarantine, 1.0)
     step(vm, 3.0)
     late = 1000.0 + SUSPICION_KEPT_SECONDS + 1
     for is_leader, left in ((False, 1), (True, 0)):
@@ -361,13 +361,13 @@
 def test_record_of_another_writer_is_passed_over(key, value):
     vm = keeper(Store())
     vm.apply(key, value, 1)
-    assert not vm.book.stored
+    assert not vm.quarantine.stored
 
 
 def test_record_names_its_writer():
     store = Store()
     vm = keeper(store)
-    crashed("a")(vm.book, 1.0)
+    crashed("a")(vm.quarantine, 1.0)
     step(vm, 3.0)
     record = records.decode(records.CrashRecord, *store.values.values())
     assert (record.by, record.writtenAt) == ("entry-1", 1000.0)
