--- a/src/mulberrydock/peer_groups.py
+++ b/src/mulberrydock/peer_groups.py
@@ -28,7 +28,7 @@
     """
 
     membership: object
-    book: object
+    tracker: object
     data_centre: str
 
     @property
@@ -60,7 +60,7 @@
         A VM whose record is gone may live, as the store loses records in an outage:
         it counts while it is heard, or for as long as it can't be.
         """
-        reports, direct = self.book.reports, self.direct()
+        reports, direct = self.tracker.reports, self.direct()
         silent = {
             name
             for name in self.membership.lapsed
@@ -84,7 +84,7 @@
         centre; None while it isn't one of them."""
         if not self.grouped():
             return None
-        reports = self.book.reports
+        reports = self.tracker.reports
         heard = [
             n for n in self.direct() if n in reports and reports[n].is_reachable(now)
         ]
@@ -115,7 +115,7 @@
         registered.pop(self.name, None)
         heard = {
             name
-            for name, report in self.book.reports.items()
+            for name, report in self.tracker.reports.items()
             if report.is_reachable(now) and not report.leaving
         }
         known = self.membership.lapsed | registered
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -100,7 +100,7 @@
     ``tokens`` are those still to be read, 0 once the prompt is prefilled.
     """
 
-    book: object
+    tracker: object
     instance_id: str
     tokens: int
     urgency: int = 0
@@ -111,7 +111,7 @@
 
     def end(self):
         """The send is over."""
-        self.book.drop(self)
+        self.tracker.drop(self)
 
 
 def _load_of(works):
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -53,7 +53,7 @@
     def __init__(
         self,
         name,
-        book,
+        tracker,
         groups,
         leaving,
         estimates=None,
@@ -62,7 +62,7 @@
         limits=None,
     ):
         self.name = name
-        self.book = book
+        self.tracker = tracker
         self.estimates = estimates
         self.groups = groups
         self.leaving = leaving
@@ -99,7 +99,7 @@
             return
         self._hear_limits(news.limits, now)
         if not news.data_centre:
-            self.book.receive(news.name, news.report)
+            self.tracker.receive(news.name, news.report)
             self._hear(news.name, news, now)
             self._note_reads(news.reads)
             self._hear_crashes(news.crashes, now)
@@ -111,7 +111,7 @@
         if self.groups.is_direct(addr):
             # A reporter of this data centre has passed it on.
             self.relayed_at[news.data_centre] = now
-        if not self.book.receive_sum(news.data_centre, news.name, news.report):
+        if not self.tracker.receive_sum(news.data_centre, news.name, news.report):
             return
         self._hear(f"data centre {news.data_centre}", news, now)
         if self._relays(news.data_centre, now):
@@ -183,9 +183,9 @@
 
     def message(self, now):
         """Return this VM's message at ``now`` as bytes."""
-        held = self.book.own_cordoned(now)
+        held = self.tracker.own_cordoned(now)
         report = self._report(
-            now, self.book.own(), held, self.interval(), self.suspects(now)
+            now, self.tracker.own(), held, self.interval(), self.suspects(now)
         )
         self.messages += 1
         limits = self._limit_news(now, self.messages)
@@ -202,8 +202,8 @@
 
     def sum_message(self, now):
         """Return the sum of this VM's data centre at ``now`` as bytes."""
-        held = self.book.direct_cordoned(now)
-        report = self._report(now, self.book.direct_total(now), held, SUM_SECONDS)
+        held = self.tracker.direct_cordoned(now)
+        report = self._report(now, self.tracker.direct_total(now), held, SUM_SECONDS)
         reads, self.near_reads = self.near_reads, {}
         pools = []
         if self.estimates is not None:
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -32,7 +32,7 @@
     name: str
     data_centre: str
     membership: Membership
-    book: LoadTracker
+    tracker: LoadTracker
     groups: PeerGroups
     link: PeerLink
     next_message: float = 0.0
@@ -65,12 +65,12 @@
     def add(self, name, data_centre):
         """Add a VM that knows nobody yet."""
         membership = Membership(None, EntryVm(name, name, data_centre))
-        book = LoadTracker()
-        groups = PeerGroups(membership, book, data_centre)
+        tracker = LoadTracker()
+        groups = PeerGroups(membership, tracker, data_centre)
         limits = RateLimits(name, groups.senders)
-        link = PeerLink(name, book, groups, bool, limits=limits)
+        link = PeerLink(name, tracker, groups, bool, limits=limits)
         link.transport = Transport(self, name)
-        self.vms[name] = Vm(name, data_centre, membership, book, groups, link)
+        self.vms[name] = Vm(name, data_centre, membership, tracker, groups, link)
 
     def deliver(self, sender, receiver, data):
         """Hand a datagram over, unless something is in its way."""
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -28,22 +28,22 @@
     each of these requests once, within a second, or it would send there too."""
     fleet = peer_fleet(**sizes)
     for vm in fleet.vms.values():
-        vm.book.begin("e1", 100, 1)
+        vm.tracker.begin("e1", 100, 1)
     fleet.run(2.0)
     count = len(fleet.vms)
     for vm in fleet.vms.values():
-        assert vm.book.total(fleet.now)["e1"] == Load(count, (0, 100 * count), 100)
+        assert vm.tracker.total(fleet.now)["e1"] == Load(count, (0, 100 * count), 100)
 
 
 def test_work_that_is_over_is_forgotten_everywhere(peer_fleet):
     """A burst of requests ends. A second later no VM avoids its engine any more."""
     fleet = peer_fleet(**MIDDLE)
-    works = [vm.book.begin("e1", 100) for vm in fleet.vms.values()]
+    works = [vm.tracker.begin("e1", 100) for vm in fleet.vms.values()]
     fleet.run(2.0)
     for work in works:
         work.end()
     fleet.run(2 * SUM_SECONDS + 0.4)
-    assert [vm.book.total(fleet.now) for vm in fleet.vms.values()] == [{}] * 36
+    assert [vm.tracker.total(fleet.now) for vm in fleet.vms.values()] == [{}] * 36
 
 
 def test_each_sum_is_passed_on_once(peer_fleet):
@@ -85,14 +85,14 @@
     fleet.dead |= set(reporters[:lost])
     living = [vm for vm in fleet.vms.values() if vm.name not in fleet.dead]
     for vm in living:
-        vm.book.begin("e1", 100)
+        vm.tracker.begin("e1", 100)
     # Their records are gone from the store once their leases end.
     for vm in living:
         for name in fleet.dead:
             vm.membership._lapse(name)
     fleet.run(5.0)
     for vm in living:
-        assert vm.book.total(fleet.now)["e1"].running == len(living)
+        assert vm.tracker.total(fleet.now)["e1"].running == len(living)
 
 
 def test_data_centre_that_is_cut_off_counts_for_a_moment(peer_fleet):
@@ -100,11 +100,11 @@
     now for ever, and what is heard of the others stays whole."""
     fleet = peer_fleet(**MIDDLE)
     for vm in fleet.vms.values():
-        vm.book.begin(vm.data_centre, 0)
+        vm.tracker.begin(vm.data_centre, 0)
     fleet.run(2.0)
     fleet.cut = [{"a", name} for name in "bcd"]
     fleet.run(3.0)
-    seen = fleet.vms["b-0"].book.total(fleet.now)
+    seen = fleet.vms["b-0"].tracker.total(fleet.now)
     assert {i: load.running for i, load in seen.items()} == {"b": 10, "c": 8, "d": 9}
 
 
@@ -113,11 +113,11 @@
     the change nobody holds it: data centres must not tell each other of it in turn."""
     fleet = peer_fleet(**MIDDLE)
     fleet.run(1.0)
-    fleet.vms["a-3"].book.cordon("e1", fleet.now + 3.0)
+    fleet.vms["a-3"].tracker.cordon("e1", fleet.now + 3.0)
     fleet.run(2.0)
-    assert all(vm.book.cordoned(fleet.now) == {"e1"} for vm in fleet.vms.values())
+    assert all(vm.tracker.cordoned(fleet.now) == {"e1"} for vm in fleet.vms.values())
     fleet.run(5.0)
-    assert all(vm.book.cordoned(fleet.now) == set() for vm in fleet.vms.values())
+    assert all(vm.tracker.cordoned(fleet.now) == set() for vm in fleet.vms.values())
 
 
 @pytest.mark.parametrize("sizes", [{"a": 4, "b": 5}, MIDDLE, LARGE])
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -21,34 +21,34 @@
     return PeerReport(sequence, received_at, loads or {}, **options)
 
 
-def alone(book):
+def alone(tracker):
     """Return the groups of a VM that knows no peer."""
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
-    return PeerGroups(membership, book, "dc1")
+    return PeerGroups(membership, tracker, "dc1")
 
 
 def test_own_and_peers_work_add_up_until_reports_are_stale():
     """A peer dies with requests in flight. Its last counts are added to our
     own for a moment and then forgotten, so that its engine isn't avoided for
     work that no one does any more."""
-    book = LoadTracker()
-    work = book.begin("e1", 100)
-    book.receive("entry-2", report(1, 10.0, {"e1": Load(2, (0, 500), 400)}))
-    assert book.total(10.5)["e1"] == Load(3, (100, 500), 400)
+    tracker = LoadTracker()
+    work = tracker.begin("e1", 100)
+    tracker.receive("entry-2", report(1, 10.0, {"e1": Load(2, (0, 500), 400)}))
+    assert tracker.total(10.5)["e1"] == Load(3, (100, 500), 400)
     work.mark_prefilled()
-    assert book.total(10.5)["e1"] == Load(3, (0, 500), 400)
-    assert book.total(11.0)["e1"] == Load(1, (0,))
+    assert tracker.total(10.5)["e1"] == Load(3, (0, 500), 400)
+    assert tracker.total(11.0)["e1"] == Load(1, (0,))
     work.end()
-    assert book.total(11.0) == {}
+    assert tracker.total(11.0) == {}
 
 
 @pytest.mark.parametrize(("sequence", "kept"), [(1, 5), (2, 5), (3, 7)])
 def test_datagrams_out_of_order(sequence, kept):
     """Datagrams overtake each other. An older one changes nothing."""
-    book = LoadTracker()
-    book.receive("entry-2", report(2, 1.0, {"e1": Load(5)}))
-    book.receive("entry-2", report(sequence, 1.1, {"e1": Load(7)}))
-    assert book.total(1.2)["e1"].running == kept
+    tracker = LoadTracker()
+    tracker.receive("entry-2", report(2, 1.0, {"e1": Load(5)}))
+    tracker.receive("entry-2", report(sequence, 1.1, {"e1": Load(7)}))
+    assert tracker.total(1.2)["e1"].running == kept
 
 
 @pytest.mark.parametrize(
@@ -69,10 +69,10 @@
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     for number in (1, 2, 3):
         membership.peers[f"entry-{number}"] = Peer(f"a{number}", "dc1")
-    book = LoadTracker()
+    tracker = LoadTracker()
     for peer in heard:
-        book.receive(peer, report(1, 100.0, leaving=peer in leaving))
-    directory = Directory(PeerGroups(membership, book, "dc1"), "a1")
+        tracker.receive(peer, report(1, 100.0, leaving=peer in leaving))
+    directory = Directory(PeerGroups(membership, tracker, "dc1"), "a1")
     assert directory.addresses(draining, 100.5) == expected
 
 
@@ -82,9 +82,9 @@
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     membership.peers["entry-2"] = Peer("a2", "dc1")
     membership.reset()
-    book = LoadTracker()
-    book.receive("entry-2", report(1, 100.0))
-    directory = Directory(PeerGroups(membership, book, "dc1"), "a1")
+    tracker = LoadTracker()
+    tracker.receive("entry-2", report(1, 100.0))
+    directory = Directory(PeerGroups(membership, tracker, "dc1"), "a1")
     assert directory.addresses(False, 100.5) == ["a1", "a2"]
 
 
@@ -101,10 +101,10 @@
 def test_loads_survive_the_message_to_a_peer():
     """A VM tells its peers what waits at an engine, by urgency; the peer must
     read the same, or it sends short prompts behind long ones."""
-    book, peer_book = LoadTracker(), LoadTracker()
-    book.begin("e1", 3000, 2)
-    book.begin("e1", 700, 0)
-    link = PeerLink("entry-1", book, alone(book), bool)
+    tracker, peer_book = LoadTracker(), LoadTracker()
+    tracker.begin("e1", 3000, 2)
+    tracker.begin("e1", 700, 0)
+    link = PeerLink("entry-1", tracker, alone(tracker), bool)
     peer = PeerLink("entry-2", peer_book, alone(peer_book), bool)
     peer.datagram_received(link.message(0.0), ("127.0.0.1", 1))
     assert peer_book.reports["entry-1"].loads == {"e1": Load(2, (700, 0, 3000), 3000)}
@@ -118,8 +118,8 @@
     for number in range(1, peers + 1):
         peer = Peer(f"a{number}", "dc1", f"10.0.0.1:{number}")
         membership.peers[f"entry-{number}"] = peer
-    book = LoadTracker()
-    link = PeerLink("entry-0", book, PeerGroups(membership, book, "dc1"), bool)
+    tracker = LoadTracker()
+    link = PeerLink("entry-0", tracker, PeerGroups(membership, tracker, "dc1"), bool)
     assert peers / link.interval() <= PEERS_AT_FULL_RATE / SEND_SECONDS + 1e-9
 
 
@@ -139,9 +139,14 @@
         suspicion = Suspicion()
         if number < failed_at:
             suspicion.record_failure("e1", time.monotonic(), unreachable=True)
-        book = LoadTracker()
+        tracker = LoadTracker()
         peer = PeerLink(
-            f"entry-{number + 1}", book, alone(book), bool, None, suspicion.suspects
+            f"entry-{number + 1}",
+            tracker,
+            alone(tracker),
+            bool,
+            None,
+            suspicion.suspects,
         )
         message = peer.message(time.monotonic())
         link.datagram_received(message, ("127.0.0.1", 1))
