--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -163,7 +163,7 @@
             known.leaving = True
             logger.info("instance draining", instance=record.incarnation)
 
-    def copy_restored(self, now):
+    def handle_store_restored(self, now):
         """The store came back from an older copy: records in it may be of instances
         that have left since, and others are yet to be written again."""
         self.store_lost(now)
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -233,7 +233,7 @@
         """A full read of the records follows; what is known holds until its end."""
         self.read.clear()
 
-    def copy_restored(self):
+    def handle_store_restored(self):
         """The store came back from an older copy: what the next full read lacks may
         have been written since, and what it brings may have been removed."""
         self.copy_old = True
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -224,8 +224,8 @@
         operator and the instances wrote they write again; the rest is ours to repair.
         """
         logger.warning("store restored from an older copy", era=self.store.era)
-        self.fleet.instances.copy_restored(time.monotonic())
-        self.fleet.quarantine.copy_restored()
+        self.fleet.instances.handle_store_restored(time.monotonic())
+        self.fleet.quarantine.handle_store_restored()
         self.membership.forget_lease()
         self.lease.forget()
         self.watch.invalidate()
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -175,7 +175,7 @@
     for name in "a", "b":
         registry.put(record(name), 0.0)
     registry.remove("b", 10.0)
-    registry.copy_restored(12.0)
+    registry.handle_store_restored(12.0)
     registry.reset()
     for name in "a", "b":
         registry.put(record(name), 12.1)
@@ -192,7 +192,7 @@
     registry = InstanceRegistry()
     for name in "a", "b":
         registry.put(record(name), 0.0)
-    registry.copy_restored(10.0)
+    registry.handle_store_restored(10.0)
     registry.reset()
     registry.put(record("a"), 10.1)
     registry.loaded(10.1)
@@ -216,7 +216,7 @@
         book.record_request_end("w", True, now)
         assert book.removals == set(crashes)
         book.removals.clear()
-    book.copy_restored()
+    book.handle_store_restored()
     book.reset()
     for crash in crashes if served else crashes[:1]:
         book.apply(crash.key, 1000.0)
