--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -62,7 +62,7 @@
             store,
             defaults.CRASH_PREFIX,
             self.crashes.keeper.apply,
-            self.crashes.quarantine.reset,
+            self.crashes.quarantine.begin_reload,
             self.crashes.quarantine.loaded,
         )
         self.settling = set()
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -241,7 +241,7 @@
             return
         self._depart(instance_id, "record removed", now)
 
-    def reset(self):
+    def begin_reload(self):
         """A full read of the records follows."""
         self.read.clear()
 
--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -166,7 +166,7 @@
         if name == self.entry.name:
             self.registered = False
 
-    def reset(self):
+    def begin_reload(self):
         """A full read follows: what it lacks has lapsed."""
         self.lapsed.update(self.peers)
         self.peers.clear()
@@ -182,6 +182,6 @@
             self.store,
             defaults.ENTRY_PREFIX,
             self.apply,
-            self.reset,
+            self.begin_reload,
             on_loaded=self.loaded,
         ).run()
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -229,7 +229,7 @@
         self.read.discard(crash)
         _drop(self.stored, crash)
 
-    def reset(self):
+    def begin_reload(self):
         """A full read of the records follows; what is known holds until its end."""
         self.read.clear()
 
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -239,10 +239,10 @@
                 handler(key, value, revision)
 
     def _on_reset(self):
-        self.fleet.instances.reset()
+        self.fleet.instances.begin_reload()
         self.leader_known = False
-        self.membership.reset()
-        self.fleet.quarantine.reset()
+        self.membership.begin_reload()
+        self.fleet.quarantine.begin_reload()
 
     def _on_loaded(self):
         now = time.monotonic()
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -165,7 +165,7 @@
     finds the key, so the engine isn't gone: its kept connections and the
     streams on them stay until it says more."""
     known = feed()
-    known.registry.reset()
+    known.registry.begin_reload()
     known.apply("servers/e1", "?", 7, 1.0)
     known.apply("servers/e2", json.dumps(GOOD), 7, 1.0)
     known.registry.loaded(1.0)
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -81,7 +81,7 @@
     are still sent to the VMs that are heard."""
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     membership.peers["entry-2"] = Peer("a2", "dc1")
-    membership.reset()
+    membership.begin_reload()
     tracker = LoadTracker()
     tracker.receive("entry-2", report(1, 100.0))
     directory = Directory(PeerGroups(membership, tracker, "dc1"), "a1")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -70,7 +70,7 @@
 
 def full_read(*instances):
     def apply(book, now):
-        book.reset()
+        book.begin_reload()
         read(*instances)(book, now)
         book.loaded(0.0, 0.0)
 
@@ -272,7 +272,7 @@
 def load(store):
     """Return the keeper of a VM that has just started and read the store."""
     fresh = keeper(store)
-    fresh.quarantine.reset()
+    fresh.quarantine.begin_reload()
     for key, value in store.values.items():
         fresh.apply(key, value, 1)
     fresh.quarantine.loaded(0.0, 0.0)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -96,7 +96,7 @@
 def records_lapse(fleet):
     """The store loses the record of every VM."""
     for vm in fleet.vms.values():
-        vm.membership.reset()
+        vm.membership.begin_reload()
 
 
 def vms_start_again(fleet):
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -176,7 +176,7 @@
         registry.put(record(name), 0.0)
     registry.remove("b", 10.0)
     registry.handle_store_restored(12.0)
-    registry.reset()
+    registry.begin_reload()
     for name in "a", "b":
         registry.put(record(name), 12.1)
     registry.loaded(12.1)
@@ -193,7 +193,7 @@
     for name in "a", "b":
         registry.put(record(name), 0.0)
     registry.handle_store_restored(10.0)
-    registry.reset()
+    registry.begin_reload()
     registry.put(record("a"), 10.1)
     registry.loaded(10.1)
     registry.sweep(10.0 + LAPSE_GRACE_SECONDS / 2)
@@ -217,7 +217,7 @@
         assert book.removals == set(crashes)
         book.removals.clear()
     book.handle_store_restored()
-    book.reset()
+    book.begin_reload()
     for crash in crashes if served else crashes[:1]:
         book.apply(crash.key, 1000.0)
     book.loaded(0.5, now)
