--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -63,7 +63,7 @@
             defaults.CRASH_PREFIX,
             self.crashes.keeper.apply,
             self.crashes.quarantine.begin_reload,
-            self.crashes.quarantine.loaded,
+            self.crashes.quarantine.finish_reload,
         )
         self.settling = set()
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -245,7 +245,7 @@
         """A full read of the records follows."""
         self.read.clear()
 
-    def loaded(self, now):
+    def finish_reload(self, now):
         """A full read is applied: records that it lacked are removed ones."""
         for instance_id in list(self.instances):
             if instance_id not in self.read:
--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -171,7 +171,7 @@
         self.lapsed.update(self.peers)
         self.peers.clear()
 
-    def loaded(self):
+    def finish_reload(self):
         """A full read is applied: our own record must be among the others."""
         if self.entry.name not in self.peers:
             self.registered = False
@@ -183,5 +183,5 @@
             defaults.ENTRY_PREFIX,
             self.apply,
             self.begin_reload,
-            on_loaded=self.loaded,
+            on_loaded=self.finish_reload,
         ).run()
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -238,7 +238,7 @@
         have been written since, and what it brings may have been removed."""
         self.copy_old = True
 
-    def loaded(self, spread, now):
+    def finish_reload(self, spread, now):
         """A full read is applied: records that it lacked are removed ones, unless the
         store has lost them.
 
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -247,9 +247,9 @@
     def _on_loaded(self):
         now = time.monotonic()
         spread = rank("crashes", self.settings.name)[0] / 256
-        self.fleet.quarantine.loaded(spread, now)
-        self.fleet.instances.loaded(now)
-        self.membership.loaded()
+        self.fleet.quarantine.finish_reload(spread, now)
+        self.fleet.instances.finish_reload(now)
+        self.membership.finish_reload()
 
     def watch_pause(self):
         """Return the seconds between an answer with changes and the next poll."""
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -168,7 +168,7 @@
     known.registry.begin_reload()
     known.apply("servers/e1", "?", 7, 1.0)
     known.apply("servers/e2", json.dumps(GOOD), 7, 1.0)
-    known.registry.loaded(1.0)
+    known.registry.finish_reload(1.0)
     assert set(known.registry.instances) == {"e1", "e2"}
     assert serving(known) == {"e2"}
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -72,7 +72,7 @@
     def apply(book, now):
         book.begin_reload()
         read(*instances)(book, now)
-        book.loaded(0.0, 0.0)
+        book.finish_reload(0.0, 0.0)
 
     return apply
 
@@ -275,7 +275,7 @@
     fresh.quarantine.begin_reload()
     for key, value in store.values.items():
         fresh.apply(key, value, 1)
-    fresh.quarantine.loaded(0.0, 0.0)
+    fresh.quarantine.finish_reload(0.0, 0.0)
     return fresh
 
 
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -179,7 +179,7 @@
     registry.begin_reload()
     for name in "a", "b":
         registry.put(record(name), 12.1)
-    registry.loaded(12.1)
+    registry.finish_reload(12.1)
     if removed_again:
         registry.remove("b", 15.0)
     registry.sweep(12.0 + seconds)
@@ -195,7 +195,7 @@
     registry.handle_store_restored(10.0)
     registry.begin_reload()
     registry.put(record("a"), 10.1)
-    registry.loaded(10.1)
+    registry.finish_reload(10.1)
     registry.sweep(10.0 + LAPSE_GRACE_SECONDS / 2)
     assert len(registry.serving("s")) == 2
     if back:
@@ -220,7 +220,7 @@
     book.begin_reload()
     for crash in crashes if served else crashes[:1]:
         book.apply(crash.key, 1000.0)
-    book.loaded(0.5, now)
+    book.finish_reload(0.5, now)
     assert book.is_quarantined("w", now) is not served
     if served:
         assert book.removals == set(crashes)
