--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -166,7 +166,7 @@
     def handle_store_restored(self, now):
         """The store came back from an older copy: records in it may be of instances
         that have left since, and others are yet to be written again."""
-        self.store_lost(now)
+        self.mark_store_unavailable(now)
         self.store_back(now)
         self.doubt_until = now + DOUBT_SECONDS
         self.departed = {
@@ -251,7 +251,7 @@
             if instance_id not in self.read:
                 self.remove(instance_id, now)
 
-    def store_lost(self, now):
+    def mark_store_unavailable(self, now):
         """The store stopped answering this VM."""
         if self.store_lost_at is None:
             self.store_lost_at = now
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -211,7 +211,7 @@
         if answered:
             self.fleet.instances.store_back(now)
         else:
-            self.fleet.instances.store_lost(now)
+            self.fleet.instances.mark_store_unavailable(now)
         if answered != self.store_answers:
             event = "store answers" if answered else "store lost"
             logger.warning(event, address=self.settings.store.address)
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -236,7 +236,7 @@
     gone = []
     known = InstanceFeed(InstanceRegistry(gone.append))
     known.apply(KEY, born(1), 1, 0.0)
-    known.registry.store_lost(1.0)
+    known.registry.mark_store_unavailable(1.0)
     known.apply(KEY, None, 2, 2.0)
     assert serving(known) == {"e1"}
     known.registry.store_back(3.0)
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -60,7 +60,7 @@
     """The store is away and drops records of instances that live. They stay in
     use; after its return they have the grace to come back."""
     known = registry("a", "b")
-    known.store_lost(10.0)
+    known.mark_store_unavailable(10.0)
     known.remove("a", 11.0)
     assert serving(known) == {"a", "b"}
     known.store_back(20.0)
