--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -167,7 +167,7 @@
         """The store came back from an older copy: records in it may be of instances
         that have left since, and others are yet to be written again."""
         self.mark_store_unavailable(now)
-        self.store_back(now)
+        self.mark_store_available(now)
         self.doubt_until = now + DOUBT_SECONDS
         self.departed = {
             name: at
@@ -256,7 +256,7 @@
         if self.store_lost_at is None:
             self.store_lost_at = now
 
-    def store_back(self, now):
+    def mark_store_available(self, now):
         """The store answers again."""
         if self.store_lost_at is not None:
             self.store_lost_at = None
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -209,7 +209,7 @@
         # in it would pass for instances that left.
         now = time.monotonic()
         if answered:
-            self.fleet.instances.store_back(now)
+            self.fleet.instances.mark_store_available(now)
         else:
             self.fleet.instances.mark_store_unavailable(now)
         if answered != self.store_answers:
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -239,7 +239,7 @@
     known.registry.mark_store_unavailable(1.0)
     known.apply(KEY, None, 2, 2.0)
     assert serving(known) == {"e1"}
-    known.registry.store_back(3.0)
+    known.registry.mark_store_available(3.0)
     known.apply(KEY, born(2), 3, 3.5)
     known.registry.sweep(9.0)
     assert serving(known) == {"e1"}
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -63,7 +63,7 @@
     known.mark_store_unavailable(10.0)
     known.remove("a", 11.0)
     assert serving(known) == {"a", "b"}
-    known.store_back(20.0)
+    known.mark_store_available(20.0)
     if back:
         known.put(record("a"), 20.5)
     known.sweep(20.0 + sweep_after)
