--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -77,7 +77,7 @@
 class Instance:
     """One incarnation of a registered instance.
 
-    ``leaving`` when it takes no new work, ``gone`` when it has left the
+    ``leaving`` when it takes no new work, ``terminated`` when it has left the
     registry, ``spoiled`` while its record can't be read; ``lapsed_at`` is since
     when its record is missing after an outage of the store.
     """
@@ -86,7 +86,7 @@
     leaving: bool = False
     lapsed_at: float | None = None
     spoiled: bool = False
-    gone: bool = False
+    terminated: bool = False
 
     @property
     def id(self):
@@ -294,7 +294,7 @@
     def _drop(self, instance_id, reason):
         instance = self.instances.pop(instance_id)
         instance.leaving = True
-        instance.gone = True
+        instance.terminated = True
         logger.info("instance gone", instance=instance.id, reason=reason)
         self.on_gone(instance.id)
 
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -89,7 +89,7 @@
         except asyncio.TimeoutError as error:
             raise UpstreamError(f"no answer in {limit:.1f} s") from error
         handle = self._read_handle(answer)
-        if self.engine.gone:
+        if self.engine.terminated:
             # It is over, or has started again under its id: a handle of that
             # number may then be another prompt's.
             raise UpstreamError("the engine is gone")
