--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -263,7 +263,7 @@
     fleet.suspicion.record_failure(former.id, 0.0, unreachable=True)
     known.apply(KEY, born(2), 2, 1.0)
     (current,) = fleet.instances.serving("llm")
-    assert former.gone and not current.gone
+    assert former.terminated and not current.terminated
     assert current.id not in fleet.loads.total(1.0)
     assert former.id not in fleet.loads.total(1.0)
     assert current.id not in fleet.loads.cordoned(1.0)
