--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -69,7 +69,7 @@
         :param answering: id of the instance that answered, empty if unknown.
         """
         if answering and answering != instance.record.id:
-            self.instances.left(instance, "address reused")
+            self.instances.mark_terminated(instance, "address reused")
         else:
             self.suspicion.record_refusal(instance.id, now)
 
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -285,7 +285,7 @@
             del self.departed[next(iter(self.departed))]
         self._drop(instance_id, reason)
 
-    def left(self, instance, reason):
+    def mark_terminated(self, instance, reason):
         """This VM saw itself that ``instance`` is over or not there."""
         if self.instances.get(instance.record.id) is instance:
             self.ended.add(instance.id)
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -74,7 +74,7 @@
     """Another instance answers at an address. Its former owner is over, also
     when a late read of the store still shows it."""
     known = registry("a", "b")
-    known.left(known.instances["a"], "address reused")
+    known.mark_terminated(known.instances["a"], "address reused")
     known.put(record("a"), 5.0)
     assert serving(known) == {"b"}
     known.put(record("b", draining=True), 5.0)
