--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -60,7 +60,7 @@
         self.loads.forget(instance_id)
         self.estimates.cache.forget(instance_id)
 
-    def misdirected(self, instance, answering, now):
+    def record_misdirected(self, instance, answering, now):
         """An instance refused a call as not meant for it.
 
         Either another one has its address now, or its stage is not what its
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -105,7 +105,7 @@
         reason = f"prefill status {answer.status}"
         marks = wire.read_metadata(answer.headers)
         if answer.status == 421:
-            self.fleet.misdirected(self.engine, marks.instance, now)
+            self.fleet.record_misdirected(self.engine, marks.instance, now)
         elif marks.not_executed:
             self.fleet.suspicion.record_refusal(self.engine.id, now)
         else:
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -280,7 +280,7 @@
         """Note what an answer shows; False when it must not be passed on."""
         now = time.monotonic()
         if status == 421:
-            self.fleet.misdirected(instance, marks.instance, now)
+            self.fleet.record_misdirected(instance, marks.instance, now)
             self.cause = f"{instance.id} is not at its address or in its stage"
             return False
         if marks.not_executed:
