--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -122,7 +122,7 @@
             instances, now, self.loads.suspected_by_peers(now)
         )
 
-    def most_urgent(self, route, service):
+    def is_most_urgent(self, route, service):
         """True when no route of the service is more urgent than ``route``."""
         config = self.routes.config
         return not any(
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -115,7 +115,7 @@
         attempt would be in vain, None to make it."""
         if self.sends.made or self.prefills.made:
             return None
-        most_urgent = self.fleet.most_urgent(self.route, self.service)
+        most_urgent = self.fleet.is_most_urgent(self.route, self.service)
         left = self._left(now)
         return refusal.refuse(plan, self.route.client_idle_timeout, most_urgent, left)
 
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -81,4 +81,4 @@
     fleet = FleetView("dc1", None, lambda: 1, lambda instance_id: None)
     fleet.routes.config = RoutingConfig(1, ROUTES, {}, None)
     route = attrs.evolve(URGENT, priority=priority)
-    assert fleet.most_urgent(route, service) is expected
+    assert fleet.is_most_urgent(route, service) is expected
