--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -98,7 +98,7 @@
         permits = self.limits.permits
         return [i for i in serving if i.id not in excluded and permits(i.id, now)]
 
-    def limited(self, service, now):
+    def is_rate_limited(self, service, now):
         """True when an instance's rate limit leaves this VM no request to it now."""
         serving = self.instances.serving(service)
         return not all(self.limits.permits(i.id, now) for i in serving)
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -143,7 +143,7 @@
             return None
         plan = self.fleet.plan(self.request, self.route, self.service, self.tried, now)
         self.planned_at = now
-        if plan is None and self.fleet.limited(self.service, now):
+        if plan is None and self.fleet.is_rate_limited(self.service, now):
             self.cause = "the instances take no more requests for now"
         if plan is None or not self.grant(plan, now):
             return None
