--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -36,7 +36,7 @@
 class InstanceRecord:
     """One instance as it registered itself; ``slots`` are places at once.
 
-    ``born`` is the Unix time of its start in milliseconds, None when it
+    ``started_at_ms`` is the Unix time of its start in milliseconds, None when it
     doesn't say.
     """
 
@@ -47,7 +47,7 @@
     slots: int
     draining: bool
     stage: Stage = Stage.NONE
-    born: int | None = None
+    started_at_ms: int | None = None
 
     @property
     def incarnation(self):
@@ -56,7 +56,9 @@
         An instance may start again under its id; it then knows nothing of
         before, so whatever is remembered of it is kept under this name.
         """
-        return self.id if self.born is None else f"{self.id}@{self.born}"
+        return (
+            self.id if self.started_at_ms is None else f"{self.id}@{self.started_at_ms}"
+        )
 
 
 @attrs.define(frozen=True)
@@ -64,13 +66,13 @@
     """What an engine reports of itself, some hundred milliseconds late.
 
     ``busy`` while an order is being carried out; ``orders`` counts those it
-    accepted since its start, which was at ``born`` as in its record.
+    accepted since its start, which was at ``started_at_ms`` as in its record.
     """
 
     stage: Stage
     busy: bool
     orders: int
-    born: int | None = None
+    started_at_ms: int | None = None
 
 
 @attrs.define(eq=False)
@@ -100,9 +102,9 @@
 
 def _older(record, known):
     """True when ``record`` is of an earlier start than the ``known`` one."""
-    if record.born is None or known.born is None:
+    if record.started_at_ms is None or known.started_at_ms is None:
         return False
-    return record.born < known.born
+    return record.started_at_ms < known.started_at_ms
 
 
 class InstanceRegistry:
@@ -218,11 +220,11 @@
         if known is not None:
             known.spoiled = True
 
-    def restarted(self, instance, born):
+    def restarted(self, instance, started_at_ms):
         """The instance itself says that it was born later than its record does."""
         if self.instances.get(instance.record.id) is instance:
             self.ended.add(instance.id)
-            self._drop(instance.record.id, f"started again at {born}")
+            self._drop(instance.record.id, f"started again at {started_at_ms}")
 
     def remove(self, instance_id, now):
         """Take a removed record: gone at once, or held if the store was away.
--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -119,7 +119,7 @@
             slots=_count(row["slots"], "slots"),
             draining=_draining(row["state"]),
             stage=_stage(row.get("stage")),
-            born=_born(row),
+            started_at_ms=_born(row),
         )
     except UNREADABLE as error:
         raise SettingsError(f"{key}: {error!r}") from error
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -27,9 +27,9 @@
 
 def _started_again(record, report):
     """True when an engine reports another start than its record does."""
-    if record.born is None or report.born is None:
+    if record.started_at_ms is None or report.started_at_ms is None:
         return False
-    return report.born > record.born
+    return report.started_at_ms > record.started_at_ms
 
 
 @attrs.define
@@ -113,7 +113,7 @@
             return stages.REFUSED_SETTLE_SECONDS
         if _started_again(instance.record, report):
             # The decision rests on what the former incarnation was.
-            self.fleet.instances.restarted(instance, report.born)
+            self.fleet.instances.restarted(instance, report.started_at_ms)
             return stages.REFUSED_SETTLE_SECONDS
         if report.busy:
             return stages.ORDER_SETTLE_SECONDS
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -35,7 +35,9 @@
 
 
 def engine(leaving=False):
-    record = InstanceRecord("e1", "llm", "10.0.0.1:80", "dc1", 4, False, born=1)
+    record = InstanceRecord(
+        "e1", "llm", "10.0.0.1:80", "dc1", 4, False, started_at_ms=1
+    )
     return Instance(record, leaving)
 
 
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -156,7 +156,7 @@
 def record(instance_id, draining=False):
     """Return an instance's record."""
     return InstanceRecord(
-        instance_id, "s", "h:1", "dc1", 4, draining, Stage.NONE, born=1
+        instance_id, "s", "h:1", "dc1", 4, draining, Stage.NONE, started_at_ms=1
     )
 
 
