--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -203,7 +203,7 @@
     for number, text in enumerate(records):
         known.apply(KEY, text, number, float(number))
     (instance,) = known.registry.serving("llm")
-    assert instance.record.born == current
+    assert instance.record.started_at_ms == current
     assert gone == dropped
 
 
