--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -87,7 +87,7 @@
     released: list = attrs.field(factory=list)
     orders: list = attrs.field(factory=list)
     misdirected: int = 0
-    born: int | None = None
+    started_at_ms: int | None = None
     crash_on: bytes = b""
     on_crash: t.Callable = lambda engine: None
     on_back: t.Callable = lambda engine: None
@@ -116,7 +116,7 @@
         return record | self._birth()
 
     def _birth(self):
-        return {} if self.born is None else {"born": self.born}
+        return {} if self.started_at_ms is None else {"born": self.started_at_ms}
 
     def listen(self):
         """Begin to serve on the running loop.
@@ -128,9 +128,9 @@
         self.server = tornado.httpserver.HTTPServer(_Server(self))
         self.server.listen(int(port), address=host)
 
-    def restart(self, born):
+    def restart(self, started_at_ms):
         """Start again under the same id: nothing of before is known."""
-        self.born = born
+        self.started_at_ms = started_at_ms
         self.orders = []
         self.prefills = []
         for reader in list(self.readers):
@@ -146,7 +146,7 @@
         asyncio.get_running_loop().call_later(CRASH_SECONDS, self._come_back)
 
     def _come_back(self):
-        self.born = int(time.time() * 1000)
+        self.started_at_ms = int(time.time() * 1000)
         self.listen()
         self.on_back(self)
 
