--- a/tests/soak.py
+++ b/tests/soak.py
@@ -110,7 +110,7 @@
             soak.add("app", "")
         for number in range(daemons):
             soak.fleet.start(f"entry-{number}")
-        names = [f"{e.id}@{e.born}" for e in soak.fleet.engines.values()]
+        names = [f"{e.id}@{e.started_at_ms}" for e in soak.fleet.engines.values()]
         for number in range(daemons):
             soak.fleet.wait_ready(f"entry-{number}", names)
         return soak
@@ -125,8 +125,10 @@
     def add(self, service, stage):
         """Start an instance behind a proxy and register the proxy's address."""
         self.instances += 1
-        born = int(time.time() * 1000)
-        engine = self.fleet.add(f"i{self.instances}", service, stage, born=born)
+        started_at_ms = int(time.time() * 1000)
+        engine = self.fleet.add(
+            f"i{self.instances}", service, stage, started_at_ms=started_at_ms
+        )
         engine.address = self._proxy(engine.address)
         engine.crash_on = CRASHING
         # Nobody listens where a process has crashed, also not its proxy.
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -68,7 +68,7 @@
         name,
         service,
         stage,
-        born=1,
+        started_at_ms=1,
         crash_on=CRASHING,
         on_back=lambda engine: fleet.store.write(f"servers/{name}", engine.record()),
     )
