--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -554,7 +554,7 @@
     under its id before the hand-over. Its handle may now be another prompt's,
     so the prompt is read anew and no run names the old handle."""
     gate = asyncio.Event()
-    engine = fleet.add("p1", "llm", "prefill", prefill_gate=gate, born=1000)
+    engine = fleet.add("p1", "llm", "prefill", prefill_gate=gate, started_at_ms=1000)
     until(lambda: '"instance":"p1@1000"' in fleet.log())
     connection = fleet.connect()
     send(connection, LETTER, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
@@ -576,7 +576,7 @@
     for engine in list(fleet.engines.values()):
         if engine.service == "llm":
             engine.event_seconds = 0.2
-            engine.born = 1000
+            engine.started_at_ms = 1000
             fleet.write(f"servers/{engine.id}", engine.record())
     until(lambda: len(fleet.events("instance gone")) == 2)
     connection = fleet.connect()
@@ -598,9 +598,9 @@
     count is another one now, so the order waits for the new record."""
     for name in ("d1", "d2"):
         engine = fleet.engines[name]
-        engine.born = 1000
+        engine.started_at_ms = 1000
         fleet.write(f"servers/{name}", engine.record())
-        engine.born = 2000
+        engine.started_at_ms = 2000
     until(
         lambda: any("d1@1000" in r["instance"] for r in fleet.events("order"))
         or len(fleet.events("instance gone")) >= 3
