--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -102,7 +102,7 @@
         self.fleet = FleetView(
             settings.data_centre,
             settings.timing,
-            self.membership.count,
+            self.membership.count_vms,
             self._on_gone,
             RateLimits(
                 settings.name,
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -86,9 +86,9 @@
     membership = Membership(None, EntryVm("entry-1", "127.0.0.1:1", "dc1"))
     for number in range(1, 9):
         membership.peers[f"entry-{number}"] = Peer("127.0.0.1:1", "dc1")
-    assert membership.count() == 8
+    assert membership.count_vms() == 8
     membership.begin_reload()
-    assert membership.count() == 8
+    assert membership.count_vms() == 8
 
 
 @pytest.mark.parametrize(
