--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -64,7 +64,7 @@
     def key(self):
         return defaults.ENTRY_PREFIX + self.entry.name
 
-    def count(self):
+    def count_vms(self):
         """Return the number of entry VMs that may be alive, this one included.
 
         VMs whose record is gone still count: the store may have dropped all
