--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -12,7 +12,7 @@
 
 #: Seconds after the store's return within which records that lapsed during
 #: its outage come back if their instance lives (the platform's promise).
-LAPSE_GRACE_SECONDS = 2.0
+STORE_RECOVERY_GRACE_SECONDS = 2.0
 #: Seconds for which it is remembered that an instance has left: a store that comes back
 #: from a copy some seconds old still has its record.
 DEPARTED_SECONDS = 60.0
@@ -128,7 +128,7 @@
         self.read = set()
         self.on_gone = on_gone
         self.store_lost_at = None
-        self.store_back_at = -LAPSE_GRACE_SECONDS
+        self.store_back_at = -STORE_RECOVERY_GRACE_SECONDS
 
     def put(self, record, now):
         """Take a record from the store."""
@@ -267,7 +267,7 @@
     def unsettled(self, now):
         """True while records may be missing whose instances live."""
         away = self.store_lost_at is not None
-        return away or now < self.store_back_at + LAPSE_GRACE_SECONDS
+        return away or now < self.store_back_at + STORE_RECOVERY_GRACE_SECONDS
 
     def sweep(self, now):
         """Drop lapsed instances whose grace is over."""
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mulberrydock.instances import (
-    LAPSE_GRACE_SECONDS,
+    STORE_RECOVERY_GRACE_SECONDS,
     InstanceRecord,
     InstanceRegistry,
     Stage,
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("back", "sweep_after", "left"),
     [
-        (True, LAPSE_GRACE_SECONDS + 1, {"a", "b"}),
-        (False, LAPSE_GRACE_SECONDS / 2, {"a", "b"}),
-        (False, LAPSE_GRACE_SECONDS + 1, {"b"}),
+        (True, STORE_RECOVERY_GRACE_SECONDS + 1, {"a", "b"}),
+        (False, STORE_RECOVERY_GRACE_SECONDS / 2, {"a", "b"}),
+        (False, STORE_RECOVERY_GRACE_SECONDS + 1, {"b"}),
     ],
 )
 def test_record_lapsed_with_the_store(back, sweep_after, left):
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -12,7 +12,7 @@
 
 from mulberrydock.instances import (
     DOUBT_SECONDS,
-    LAPSE_GRACE_SECONDS,
+    STORE_RECOVERY_GRACE_SECONDS,
     InstanceRecord,
     InstanceRegistry,
     Stage,
@@ -196,11 +196,11 @@
     registry.begin_reload()
     registry.put(record("a"), 10.1)
     registry.finish_reload(10.1)
-    registry.sweep(10.0 + LAPSE_GRACE_SECONDS / 2)
+    registry.sweep(10.0 + STORE_RECOVERY_GRACE_SECONDS / 2)
     assert len(registry.serving("s")) == 2
     if back:
         registry.put(record("b"), 11.0)
-    registry.sweep(10.1 + LAPSE_GRACE_SECONDS)
+    registry.sweep(10.1 + STORE_RECOVERY_GRACE_SECONDS)
     assert len(registry.serving("s")) == 1 + back
 
 
