--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -15,7 +15,7 @@
 #: Seconds between two messages to each peer. A prefill takes 20 to 150 ms, so
 #: a view of 200 ms still tells a busy engine from an idle one; half of it
 #: doubles the traffic between data centres, which is priced.
-SEND_SECONDS = 0.2
+SEND_INTERVAL_SECONDS = 0.2
 #: Peers up to which a VM sends that often. With more of them to tell, it sends less
 #: often, so that its messages a second stay bounded, and with them what each VM reads:
 #: with 40, as in a data centre of a fleet of 200, half a second passes between two to
@@ -167,7 +167,9 @@
 
     def interval(self):
         """Return the seconds between two messages to each direct peer."""
-        return SEND_SECONDS * max(1.0, len(self.groups.direct()) / PEERS_AT_FULL_RATE)
+        return SEND_INTERVAL_SECONDS * max(
+            1.0, len(self.groups.direct()) / PEERS_AT_FULL_RATE
+        )
 
     def _report(self, now, loads, held, interval, suspects=()):
         self.sequence += 1
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -12,14 +12,14 @@
 from mulberrydock.peer_groups import DIRECT_PEERS, REPORTERS
 from mulberrydock.peer_loads import Load
 from mulberrydock.peer_messages import decode
-from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_SECONDS, SUM_SECONDS
+from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_INTERVAL_SECONDS, SUM_SECONDS
 
 LARGE = {"a": 39, "b": 41, "c": 36, "d": 40, "e": 39}
 #: As large as it takes for data centres to tell each other only their sums.
 MIDDLE = {"a": 9, "b": 10, "c": 8, "d": 9}
 #: Messages a second that a VM may send at most beside its own to its direct peers:
 #: a reporter passes each other data centre's sum on to its own.
-RELAYED = PEERS_AT_FULL_RATE / SEND_SECONDS * 8
+RELAYED = PEERS_AT_FULL_RATE / SEND_INTERVAL_SECONDS * 8
 
 
 @pytest.mark.parametrize("sizes", [{"a": 4, "b": 4}, MIDDLE, LARGE])
@@ -128,7 +128,7 @@
     fleet.run(1.0)
     fleet.sent.clear()
     fleet.run(1.0)
-    direct = PEERS_AT_FULL_RATE / SEND_SECONDS
+    direct = PEERS_AT_FULL_RATE / SEND_INTERVAL_SECONDS
     reporters = {n for n, vm in fleet.vms.items() if vm.link.place is not None}
     others = [count for name, count in fleet.sent.items() if name not in reporters]
     assert max(others) <= 2 * direct
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -11,7 +11,7 @@
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import Load, LoadTracker, PeerReport
-from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_SECONDS, PeerLink
+from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_INTERVAL_SECONDS, PeerLink
 from mulberrydock.serve import EntryVm
 from mulberrydock.suspicion import Suspicion
 
@@ -120,7 +120,7 @@
         membership.peers[f"entry-{number}"] = peer
     tracker = LoadTracker()
     link = PeerLink("entry-0", tracker, PeerGroups(membership, tracker, "dc1"), bool)
-    assert peers / link.interval() <= PEERS_AT_FULL_RATE / SEND_SECONDS + 1e-9
+    assert peers / link.interval() <= PEERS_AT_FULL_RATE / SEND_INTERVAL_SECONDS + 1e-9
 
 
 @pytest.mark.parametrize(
