--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -26,7 +26,7 @@
 MESSAGES_A_POOL_REPORT = 5
 #: Seconds between two sums that a reporter sends to the other data centres. What
 #: they know of its engines is as old as this and a message within the data centre.
-SUM_SECONDS = 0.4
+SUM_INTERVAL_SECONDS = 0.4
 #: Share of that time that must have passed since a data centre's last sum was passed
 #: on, here or by a reporter before this one; for each of those as much more. One
 #: passes sums on, and the next takes its place when it falls silent.
@@ -123,7 +123,7 @@
         if self.place is None:
             return False
         last = self.relayed_at.get(data_centre, 0.0)
-        return now - last >= SUM_SECONDS * RELAY_SHARE * (1 + self.place)
+        return now - last >= SUM_INTERVAL_SECONDS * RELAY_SHARE * (1 + self.place)
 
     def _hear(self, source, news, now):
         if self.estimates is None:
@@ -205,7 +205,9 @@
     def sum_message(self, now):
         """Return the sum of this VM's data centre at ``now`` as bytes."""
         held = self.tracker.direct_cordoned(now)
-        report = self._report(now, self.tracker.direct_total(now), held, SUM_SECONDS)
+        report = self._report(
+            now, self.tracker.direct_total(now), held, SUM_INTERVAL_SECONDS
+        )
         reads, self.near_reads = self.near_reads, {}
         pools = []
         if self.estimates is not None:
@@ -241,7 +243,7 @@
     async def _report_sums(self):
         while True:
             self.send_sum(time.monotonic())
-            await asyncio.sleep(SUM_SECONDS)
+            await asyncio.sleep(SUM_INTERVAL_SECONDS)
 
     async def _tell(self):
         while True:
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -7,7 +7,7 @@
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadTracker
-from mulberrydock.peers import SUM_SECONDS, PeerLink
+from mulberrydock.peers import SUM_INTERVAL_SECONDS, PeerLink
 from mulberrydock.rate_limits import RateLimits
 from mulberrydock.serve import EntryVm
 
@@ -97,5 +97,5 @@
             vm.next_message = self.now + vm.link.interval()
             vm.link.send()
         if self.now >= vm.next_sum:
-            vm.next_sum = self.now + SUM_SECONDS
+            vm.next_sum = self.now + SUM_INTERVAL_SECONDS
             vm.link.send_sum(self.now)
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -12,7 +12,11 @@
 from mulberrydock.peer_groups import DIRECT_PEERS, REPORTERS
 from mulberrydock.peer_loads import Load
 from mulberrydock.peer_messages import decode
-from mulberrydock.peers import PEERS_AT_FULL_RATE, SEND_INTERVAL_SECONDS, SUM_SECONDS
+from mulberrydock.peers import (
+    PEERS_AT_FULL_RATE,
+    SEND_INTERVAL_SECONDS,
+    SUM_INTERVAL_SECONDS,
+)
 
 LARGE = {"a": 39, "b": 41, "c": 36, "d": 40, "e": 39}
 #: As large as it takes for data centres to tell each other only their sums.
@@ -42,7 +46,7 @@
     fleet.run(2.0)
     for work in works:
         work.end()
-    fleet.run(2 * SUM_SECONDS + 0.4)
+    fleet.run(2 * SUM_INTERVAL_SECONDS + 0.4)
     assert [vm.tracker.total(fleet.now) for vm in fleet.vms.values()] == [{}] * 36
 
 
@@ -63,7 +67,7 @@
             send_to(peers, data)
 
         vm.link._send_to = count
-    fleet.run(4 * SUM_SECONDS)
+    fleet.run(4 * SUM_INTERVAL_SECONDS)
     assert set(relays) == set(LARGE)
     assert max(relays.values()) <= 4 * 5
     assert min(relays.values()) >= 4 * 3
