--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -29,7 +29,7 @@
 LEAST_STREAMS = 1.0
 #: Share of the fleet-wide retry budget that the VMs spend together: their
 #: windows and views of each other never quite agree.
-BUDGET_SHARE = 0.7
+RETRY_BUDGET_SHARE = 0.7
 
 
 class FleetView:
@@ -78,11 +78,11 @@
         budget = self.budgets.get(service)
         if budget is None:
             budget = RetryBudget(
-                ratio=self.timing.retry_budget_ratio * BUDGET_SHARE,
+                ratio=self.timing.retry_budget_ratio * RETRY_BUDGET_SHARE,
                 window_seconds=self.timing.retry_budget_window_seconds,
             )
             self.budgets[service] = budget
-        share = self.timing.retry_budget_floor * BUDGET_SHARE / self.peers()
+        share = self.timing.retry_budget_floor * RETRY_BUDGET_SHARE / self.peers()
         budget.floor = share
         return budget
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -10,7 +10,7 @@
 from mulberrydock._serve_model import Timing
 from mulberrydock.admission import RetryBudget
 from mulberrydock.exceptions import UpstreamError
-from mulberrydock.fleet_view import BUDGET_SHARE, FleetView
+from mulberrydock.fleet_view import RETRY_BUDGET_SHARE, FleetView
 from mulberrydock.instances import InstanceRecord, Stage
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.placement import Plan
@@ -76,7 +76,7 @@
     sent = 0
     while view.budget("llm").allow(0.0):
         sent += 1
-    assert sent * peers <= TIMING.retry_budget_floor * BUDGET_SHARE
+    assert sent * peers <= TIMING.retry_budget_floor * RETRY_BUDGET_SHARE
 
 
 def test_a_vm_that_loses_sight_of_its_peers_keeps_to_its_share():
