--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -25,7 +25,7 @@
 SETTLE_SECONDS = 1.0
 #: Seconds after which a VM writes what it heard of a crash, if the VM that saw it has
 #: not, being cut off from the store; up to twice as long, so that not all write.
-HEARD_SECONDS = 1.5
+PEER_CRASH_WRITE_DELAY_SECONDS = 1.5
 #: Messages to peers that tell of one crash: single datagrams get lost.
 REPEATS = 3
 #: Crashes told in one message, of some 55 bytes each: a datagram bears them beside
@@ -154,7 +154,7 @@
         """
         if self._served(crash.work, now):
             return
-        self._add(crash, now + HEARD_SECONDS * (1 + spread), 0)
+        self._add(crash, now + PEER_CRASH_WRITE_DELAY_SECONDS * (1 + spread), 0)
 
     def _add(self, crash, write_at, messages_left):
         if crash.instance in self.stored.get(crash.work, {}):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,7 +15,7 @@
 from mulberrydock.exceptions import StoreError
 from mulberrydock.quarantine import (
     CRASH_LIMIT,
-    HEARD_SECONDS,
+    PEER_CRASH_WRITE_DELAY_SECONDS,
     QUARANTINE_KEPT_SECONDS,
     SERVED_SECONDS,
     SETTLE_SECONDS,
@@ -144,7 +144,7 @@
         # Served at another instance: never told.
         ([(1, crashed("a")), (1.5, served())], None),
         # The VM that saw it may be cut off from the store: its peers write it.
-        ([(1, heard("a"))], 1 + 1.5 * HEARD_SECONDS),
+        ([(1, heard("a"))], 1 + 1.5 * PEER_CRASH_WRITE_DELAY_SECONDS),
         # The VM that saw it has written it.
         ([(1, heard("a")), (2, read("a"))], None),
     ],
@@ -321,7 +321,7 @@
         peer.quarantine.apply_peer_crash(crash, 0.0, 1.1)
     crashed("c")(peer.quarantine, 1.2)
     assert peer.quarantine.is_quarantined(WORK, 1.2)
-    assert step(peer, 1.1 + HEARD_SECONDS)
+    assert step(peer, 1.1 + PEER_CRASH_WRITE_DELAY_SECONDS)
     assert load(store).quarantine.is_quarantined(WORK, 5.0)
 
 
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -18,7 +18,12 @@
     Stage,
 )
 from mulberrydock.lease import ERA_VERSIONS, LeaderLease
-from mulberrydock.quarantine import CRASH_LIMIT, HEARD_SECONDS, Crash, Quarantine
+from mulberrydock.quarantine import (
+    CRASH_LIMIT,
+    PEER_CRASH_WRITE_DELAY_SECONDS,
+    Crash,
+    Quarantine,
+)
 from mulberrydock.standin.platform_store import PlatformStoreState
 from mulberrydock.standin.store import DirectStore
 
@@ -226,4 +231,6 @@
         assert book.removals == set(crashes)
         return
     assert not book.due_writes(now)
-    assert set(book.due_writes(now + 2 * HEARD_SECONDS)) == set(crashes[1:])
+    assert set(book.due_writes(now + 2 * PEER_CRASH_WRITE_DELAY_SECONDS)) == set(
+        crashes[1:]
+    )
