--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -29,7 +29,7 @@
     """Calls to the store at ``address`` over kept connections.
 
     ``on_answer`` is called after each call with True when the store answered it,
-    ``on_era`` when an answer is the first from a store that came back from an older
+    ``on_era_change`` when an answer is the first from a store that came back from an older
     copy. ``era`` counts these copies.
     """
 
@@ -38,7 +38,7 @@
         self.timeout = timeout
         self.pool = ConnectionPool(address, CONNECTION_LIMIT)
         self.on_answer = lambda answered: None
-        self.on_era = lambda: None
+        self.on_era_change = lambda: None
         self.era = None
 
     async def _call(self, method, path, body=None, timeout=None):
@@ -77,7 +77,7 @@
         era = int(text) if text.isdecimal() else 0
         known, self.era = self.era, max(era, self.era or 0)
         if known is not None and era > known:
-            self.on_era()
+            self.on_era_change()
         return era == self.era
 
     async def get(self, key):
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -85,7 +85,7 @@
         self.settings = settings
         self.store = store
         store.on_answer = self._on_store_answer
-        store.on_era = self._on_store_era
+        store.on_era_change = self._on_store_era
         self.log_sink = log_sink
         self.metrics = ServeMetrics()
         self.draining = False
