--- a/src/mulberrydock/standin/platform_store.py
+++ b/src/mulberrydock/standin/platform_store.py
@@ -34,7 +34,7 @@
     """Store data plus the faults that a test switches on.
 
     ``refusing`` answers 503 to every call; ``silent`` answers nothing;
-    ``lose_writes`` counts writes to be done and not answered. ``era`` counts how often
+    ``lose_write_answers`` counts writes to be done and not answered. ``era`` counts how often
     it came back from an older copy.
     """
 
@@ -42,7 +42,7 @@
         super().__init__()
         self.refusing = False
         self.silent = False
-        self.lose_writes = 0
+        self.lose_write_answers = 0
         self.compacted_at = 0
         self.era = 0
 
@@ -121,8 +121,8 @@
 
     def answer(self, document, status=200):
         """Send ``document``, or drop it where a lost answer is due."""
-        if self.writes and self.state.lose_writes > 0:
-            self.state.lose_writes -= 1
+        if self.writes and self.state.lose_write_answers > 0:
+            self.state.lose_write_answers -= 1
             self.request.connection.stream.close()
             return
         self.set_status(status)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -155,7 +155,7 @@
 
     def break_store(self):
         name, value = self.random.choice(
-            (("refusing", True), ("silent", True), ("lose_writes", 2))
+            (("refusing", True), ("silent", True), ("lose_write_answers", 2))
         )
         setattr(self.fleet.store, name, value)
         self._later(setattr, self.fleet.store, name, type(value)(0))
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -403,7 +403,7 @@
 def test_lost_answers_of_the_store_leave_the_vm_registered(fleet):
     """Writes are done and their answers lost while a VM registers. It
     registers again until it knows, and its peers list it."""
-    fleet.store.lose_writes = 3
+    fleet.store.lose_write_answers = 3
     fleet.start("entry-2")
     fleet.wait_ready("entry-2")
     key = "entries/entry-2"
