--- a/src/mulberrydock/standin/platform_store.py
+++ b/src/mulberrydock/standin/platform_store.py
@@ -75,7 +75,7 @@
         """Write any bytes, as a foreign writer may."""
         return self.put(key, _encode(raw), None, 0, time.monotonic())
 
-    def forget_history(self):
+    def compact_history(self):
         """Drop the history, as a compaction does."""
         self.history.clear()
         self.compacted_at = self.revision
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -162,7 +162,7 @@
         return f"store {name}"
 
     def forget(self):
-        self.fleet.call(self.fleet.store.forget_history)
+        self.fleet.call(self.fleet.store.compact_history)
         return "store forgets"
 
     def break_instance(self):
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -370,7 +370,7 @@
     until(
         lambda: any(r["version"] == 9 for r in fleet.events("configuration in force"))
     )
-    fleet.call(fleet.store.forget_history)
+    fleet.call(fleet.store.compact_history)
     rows = [route(STATUS, "idempotent", "llm")]
     fleet.write("op/config", config(5, rows))
     time.sleep(0.5)
