--- a/src/mulberrydock/standin/platform_store.py
+++ b/src/mulberrydock/standin/platform_store.py
@@ -46,7 +46,7 @@
         self.compacted_at = 0
         self.era = 0
 
-    def copy(self):
+    def snapshot(self):
         """Return a :class:`Copy` of the data as they are."""
         return Copy(
             dict(self.items),
