--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -65,7 +65,7 @@
     :param born: Unix milliseconds of its start, None when it doesn't say.
     :param crash_on: a run whose body holds these bytes crashes the process.
     :param on_crash: called with this engine when it crashes.
-    :param on_back: called with this engine when it is back after a crash.
+    :param on_restart: called with this engine when it is back after a crash.
     :param limit: rate limit that its answers declare, in requests a second.
     :param prefill_gate: prefill calls are answered once this is set.
     :param prefill_refusals: each entry refuses one prefill call; several
@@ -90,7 +90,7 @@
     started_at_ms: int | None = None
     crash_on: bytes = b""
     on_crash: t.Callable = lambda engine: None
-    on_back: t.Callable = lambda engine: None
+    on_restart: t.Callable = lambda engine: None
     crashes: int = 0
     limit: float | None = None
     arrivals: list = attrs.field(factory=list)
@@ -148,7 +148,7 @@
     def _come_back(self):
         self.started_at_ms = int(time.time() * 1000)
         self.listen()
-        self.on_back(self)
+        self.on_restart(self)
 
     def stop(self):
         """Refuse new connections, as a process that is gone."""
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -134,7 +134,7 @@
         # Nobody listens where a process has crashed, also not its proxy.
         proxy = self.proxies[-1]
         engine.on_crash = lambda engine: proxy.set_mode("partition")
-        engine.on_back = lambda engine: self._back(engine, proxy)
+        engine.on_restart = lambda engine: self._back(engine, proxy)
         self.fleet.write(f"servers/{engine.id}", engine.record())
         return engine
 
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -70,7 +70,7 @@
         stage,
         started_at_ms=1,
         crash_on=CRASHING,
-        on_back=lambda engine: fleet.store.write(f"servers/{name}", engine.record()),
+        on_restart=lambda engine: fleet.store.write(f"servers/{name}", engine.record()),
     )
 
 
