--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -63,7 +63,7 @@
     :param faults: what to do with the next requests, in order.
     :param events: events of a whole stream; ids begin at 1.
     :param born: Unix milliseconds of its start, None when it doesn't say.
-    :param crash_on: a run whose body holds these bytes crashes the process.
+    :param crash_marker: a run whose body holds these bytes crashes the process.
     :param on_crash: called with this engine when it crashes.
     :param on_restart: called with this engine when it is back after a crash.
     :param limit: rate limit that its answers declare, in requests a second.
@@ -88,7 +88,7 @@
     orders: list = attrs.field(factory=list)
     misdirected: int = 0
     started_at_ms: int | None = None
-    crash_on: bytes = b""
+    crash_marker: bytes = b""
     on_crash: t.Callable = lambda engine: None
     on_restart: t.Callable = lambda engine: None
     crashes: int = 0
@@ -211,7 +211,7 @@
             int(reader.headers.get(wire.LAST_EVENT_ID, "0")),
         )
         self.runs.append(run)
-        if self.crash_on and self.crash_on in reader.body:
+        if self.crash_marker and self.crash_marker in reader.body:
             self.crash()
             return
         try:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -130,7 +130,7 @@
             f"i{self.instances}", service, stage, started_at_ms=started_at_ms
         )
         engine.address = self._proxy(engine.address)
-        engine.crash_on = CRASHING
+        engine.crash_marker = CRASHING
         # Nobody listens where a process has crashed, also not its proxy.
         proxy = self.proxies[-1]
         engine.on_crash = lambda engine: proxy.set_mode("partition")
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -69,7 +69,7 @@
         service,
         stage,
         started_at_ms=1,
-        crash_on=CRASHING,
+        crash_marker=CRASHING,
         on_restart=lambda engine: fleet.store.write(f"servers/{name}", engine.record()),
     )
 
