--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -93,7 +93,7 @@
     on_restart: t.Callable = lambda engine: None
     crashes: int = 0
     limit: float | None = None
-    arrivals: list = attrs.field(factory=list)
+    arrived_ids: list = attrs.field(factory=list)
     arrived_at: list = attrs.field(factory=list)
     listens_at: str = ""
     server: object = None
@@ -193,7 +193,7 @@
         reader.respond(202, {}, b"")
 
     async def _serve(self, reader):
-        self.arrivals.append(reader.headers.get(wire.ATTEMPT_ID, ""))
+        self.arrived_ids.append(reader.headers.get(wire.ATTEMPT_ID, ""))
         self.arrived_at.append(time.monotonic())
         fault = self.faults.pop(0) if self.faults else Fault.NONE
         if fault is Fault.REFUSE:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -296,7 +296,7 @@
         return sum(
             request_id.startswith("crash")
             for engine in self.fleet.engines.values()
-            for request_id in engine.arrivals
+            for request_id in engine.arrived_ids
         )
 
     def _client(self, number):
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -80,7 +80,7 @@
 
 def arrivals(fleet):
     """Return how many calls reached engines, prefill calls among them."""
-    return sum(len(engine.arrivals) for engine in fleet.engines.values())
+    return sum(len(engine.arrived_ids) for engine in fleet.engines.values())
 
 
 def crash_engines(fleet, prefix):
