--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -94,7 +94,7 @@
     crashes: int = 0
     limit: float | None = None
     arrived_ids: list = attrs.field(factory=list)
-    arrived_at: list = attrs.field(factory=list)
+    arrival_times: list = attrs.field(factory=list)
     listens_at: str = ""
     server: object = None
     readers: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
@@ -194,7 +194,7 @@
 
     async def _serve(self, reader):
         self.arrived_ids.append(reader.headers.get(wire.ATTEMPT_ID, ""))
-        self.arrived_at.append(time.monotonic())
+        self.arrival_times.append(time.monotonic())
         fault = self.faults.pop(0) if self.faults else Fault.NONE
         if fault is Fault.REFUSE:
             reader.respond(503, {wire.NOT_EXECUTED: "1"} | self._limit(), b"")
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -68,6 +68,6 @@
         assert answer.status in (200, 503)
         number += 1
         time.sleep(0.03)
-    counted = [at for at in engine.arrived_at if at - first > CONTACT_SECONDS]
+    counted = [at for at in engine.arrival_times if at - first > CONTACT_SECONDS]
     assert counted
     assert most_in_a_window(counted) <= 1.5 * LIMIT * WINDOW_SECONDS + SLACK
