--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -84,7 +84,7 @@
     faults: list = attrs.field(factory=list)
     runs: list = attrs.field(factory=list)
     prefills: list = attrs.field(factory=list)
-    released: list = attrs.field(factory=list)
+    released_handles: list = attrs.field(factory=list)
     orders: list = attrs.field(factory=list)
     misdirected: int = 0
     started_at_ms: int | None = None
@@ -165,7 +165,7 @@
         elif path == "/order":
             self._order(reader)
         elif path.startswith("/kv-handle/"):
-            self.released.append(path.rsplit("/", 1)[1])
+            self.released_handles.append(path.rsplit("/", 1)[1])
             reader.respond(200, {}, b"")
         else:
             await self._serve(reader)
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -223,7 +223,7 @@
     for engine in ("d1", "d2"):
         fleet.engines[engine].faults.append(Fault.REFUSE)
     response = fleet.request(LETTER, "u2", **long_prompt)
-    until(lambda: "h1" in prefill.released)
+    until(lambda: "h1" in prefill.released_handles)
 
 
 def test_decode_engine_that_leaves_during_the_prefill_gets_nothing(fleet):
