--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -78,7 +78,7 @@
     stage: str = ""
     data_centre: str = "dc1"
     events: int = 4
-    event_seconds: float = 0.0
+    event_interval_seconds: float = 0.0
     prefill_gate: asyncio.Event | None = None
     prefill_refusals: list = attrs.field(factory=list)
     faults: list = attrs.field(factory=list)
@@ -292,7 +292,7 @@
             if number - first == 2 and fault is Fault.PAUSE:
                 await asyncio.sleep(PAUSE_SECONDS)
             reader.write(f"id: {number}\ndata: {run.id}\n\n".encode())
-            await asyncio.sleep(self.event_seconds)
+            await asyncio.sleep(self.event_interval_seconds)
         reader.finish_stream()
 
 
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -122,7 +122,7 @@
     fleet.write("op/config", config(3))
     add(fleet, "d1", "llm", "decode")
     engine = fleet.engines["d1"]
-    engine.events, engine.event_seconds = 20, 0.05
+    engine.events, engine.event_interval_seconds = 20, 0.05
     fleet.start()
     try:
         fleet.wait_ready(instances=["d1@1"])
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -99,7 +99,7 @@
     letter. The client gets every event once and in order, the rest of them
     from the other engine, which was asked to go on after the last whole one."""
     for engine in ("d1", "d2"):
-        fleet.engines[engine].event_seconds = EVENT_SECONDS
+        fleet.engines[engine].event_interval_seconds = EVENT_SECONDS
     fleet.fail_next("llm", fault)
     response = fleet.request(LETTER, "r3")
     assert response.whole and event_ids(response.text) == [1, 2, 3, 4]
@@ -130,7 +130,7 @@
     The client sees a stream that ends early, never one that looks complete,
     and no other engine runs it."""
     for engine in ("d1", "d2"):
-        fleet.engines[engine].event_seconds = EVENT_SECONDS
+        fleet.engines[engine].event_interval_seconds = EVENT_SECONDS
     fleet.fail_next("llm", Fault.CUT)
     response = fleet.request(QUERY, "r5")
     assert not response.whole
@@ -445,7 +445,7 @@
     fleet.start("entry-2")
     fleet.wait_ready("entry-2")
     for engine in ("d1", "d2"):
-        fleet.engines[engine].event_seconds = 0.3
+        fleet.engines[engine].event_interval_seconds = 0.3
     kept = fleet.connect()
     assert fleet.request(STATUS, "g0", kept).status == 200
     connection = fleet.connect()
@@ -575,7 +575,7 @@
     run after the last whole event."""
     for engine in list(fleet.engines.values()):
         if engine.service == "llm":
-            engine.event_seconds = 0.2
+            engine.event_interval_seconds = 0.2
             engine.started_at_ms = 1000
             fleet.write(f"servers/{engine.id}", engine.record())
     until(lambda: len(fleet.events("instance gone")) == 2)
