--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -92,7 +92,7 @@
     on_crash: t.Callable = lambda engine: None
     on_restart: t.Callable = lambda engine: None
     crashes: int = 0
-    limit: float | None = None
+    rate_limit: float | None = None
     arrived_ids: list = attrs.field(factory=list)
     arrival_times: list = attrs.field(factory=list)
     listens_at: str = ""
@@ -235,7 +235,9 @@
         reader.respond(200, headers, body.encode())
 
     def _limit(self):
-        return {} if self.limit is None else {wire.SERVER_LIMIT: str(self.limit)}
+        return (
+            {} if self.rate_limit is None else {wire.SERVER_LIMIT: str(self.rate_limit)}
+        )
 
     def _marks(self, run):
         return {
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -57,7 +57,7 @@
 )
 def test_fleet_keeps_the_limit_of_an_engine(fleet, limited, tokens):
     engine = fleet.engines[limited]
-    engine.limit = LIMIT
+    engine.rate_limit = LIMIT
     first = time.monotonic()
     number = 0
     while time.monotonic() - first < SECONDS:
