--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -135,7 +135,7 @@
         engine = PlatformEngine(instance_id, address, service, stage, **options)
         self.call(engine.listen)
         self.engines[instance_id] = engine
-        self.write(f"servers/{instance_id}", engine.record())
+        self.write(f"servers/{instance_id}", engine.store_document())
         return engine
 
     def fail_next(self, service, *faults):
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -135,14 +135,14 @@
         proxy = self.proxies[-1]
         engine.on_crash = lambda engine: proxy.set_mode("partition")
         engine.on_restart = lambda engine: self._back(engine, proxy)
-        self.fleet.write(f"servers/{engine.id}", engine.record())
+        self.fleet.write(f"servers/{engine.id}", engine.store_document())
         return engine
 
     def _back(self, engine, proxy):
         proxy.set_mode("pass")
         key = f"servers/{engine.id}"
         if key in self.fleet.store.items and engine not in self.ends:
-            self.fleet.store.write(key, engine.record())
+            self.fleet.store.write(key, engine.store_document())
 
     # Faults: each returns what it did, for the log of the run.
 
@@ -176,7 +176,7 @@
         old = self.random.choice(live)
         self.ends.append(old)
         self.add(old.service, old.stage)
-        self.fleet.write(f"servers/{old.id}", old.record("draining"))
+        self.fleet.write(f"servers/{old.id}", old.store_document("draining"))
         self._later(self.fleet.remove, f"servers/{old.id}")
         return f"{old.id} drains"
 
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -70,7 +70,9 @@
         stage,
         started_at_ms=1,
         crash_marker=CRASHING,
-        on_restart=lambda engine: fleet.store.write(f"servers/{name}", engine.record()),
+        on_restart=lambda engine: fleet.store.write(
+            f"servers/{name}", engine.store_document()
+        ),
     )
 
 
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -116,7 +116,9 @@
     other one is leaving. Ending the answer would lose it for nothing, so the
     daemon waits and the client gets it whole."""
     for engine in ("d2", "a2"):
-        fleet.write(f"servers/{engine}", fleet.engines[engine].record("draining"))
+        fleet.write(
+            f"servers/{engine}", fleet.engines[engine].store_document("draining")
+        )
     until(lambda: len(fleet.events("instance draining")) == 2)
     fleet.fail_next("llm", Fault.PAUSE)
     fleet.fail_next("app", Fault.PAUSE)
@@ -238,7 +240,9 @@
     until(lambda: prefill.prefills)
     fleet.add("d3", "llm", "decode")
     for engine in ("d1", "d2"):
-        fleet.write(f"servers/{engine}", fleet.engines[engine].record("draining"))
+        fleet.write(
+            f"servers/{engine}", fleet.engines[engine].store_document("draining")
+        )
     until(lambda: len(fleet.events("instance draining")) == 2)
     fleet.call(gate.set)
     assert event_ids(connection.getresponse().read()) == [1, 2, 3, 4]
@@ -275,7 +279,7 @@
 def test_draining_instance_gets_nothing_new(fleet):
     """An instance announces that it leaves. From the moment at which the
     daemon knows it, every request goes to the other one."""
-    fleet.write("servers/a1", fleet.engines["a1"].record("draining"))
+    fleet.write("servers/a1", fleet.engines["a1"].store_document("draining"))
     until(lambda: fleet.events("instance draining"))
     for number in range(6):
         assert fleet.request(STATUS, f"x{number}").status == 200
@@ -320,7 +324,9 @@
     within the third of its time left that it would wait. The route's own
     timeout is 4 s."""
     for engine in ("d1", "d2"):
-        fleet.write(f"servers/{engine}", fleet.engines[engine].record("draining"))
+        fleet.write(
+            f"servers/{engine}", fleet.engines[engine].store_document("draining")
+        )
     until(lambda: len(fleet.events("instance draining")) == 2)
     response = fleet.request(LETTER, "cb1", X_Mulberrydock_Deadline_Ms=deadline)
     assert response.status == 503
@@ -394,7 +400,7 @@
     until(lambda: len(fleet.events("store answers")) > 1)
     assert fleet.request(STATUS, "o2").status == 200
     for instance in ("d1", "d2", "a1"):
-        fleet.write(f"servers/{instance}", fleet.engines[instance].record())
+        fleet.write(f"servers/{instance}", fleet.engines[instance].store_document())
     until(lambda: any(r["instance"] == "a2" for r in fleet.events("instance gone")))
     assert {r["instance"] for r in fleet.events("instance gone")} == {"a2"}
     assert fleet.request(STATUS, "o3").status == 200
@@ -542,7 +548,7 @@
         assert fleet.request(RECEIPT, f"s{number}").status == 200
     assert [len(runs(fleet, f"s{n}")) for n in range(4)] == [1] * 4
     assert not fleet.engines["a1"].runs
-    fleet.write("servers/a1", fleet.engines["a1"].record())
+    fleet.write("servers/a1", fleet.engines["a1"].store_document())
     fleet.remove("servers/a2")
     until(lambda: fleet.request(RECEIPT, "again").status == 200)
     assert len(fleet.events("instance refused")) == 1
@@ -560,7 +566,7 @@
     send(connection, LETTER, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
     until(lambda: engine.prefills)
     # The new start registers while the old one's answer is on its way.
-    fleet.write("servers/p1", dict(engine.record(), born=2000))
+    fleet.write("servers/p1", dict(engine.store_document(), born=2000))
     until(lambda: fleet.events("instance gone"))
     fleet.loop.call_soon_threadsafe(gate.set)
     response = connection.getresponse()
@@ -577,7 +583,7 @@
         if engine.service == "llm":
             engine.event_interval_seconds = 0.2
             engine.started_at_ms = 1000
-            fleet.write(f"servers/{engine.id}", engine.record())
+            fleet.write(f"servers/{engine.id}", engine.store_document())
     until(lambda: len(fleet.events("instance gone")) == 2)
     connection = fleet.connect()
     send(connection, LETTER, "mid")
@@ -586,7 +592,7 @@
     engine = next(e for e in fleet.engines.values() if run in e.runs)
     time.sleep(0.3)
     fleet.call(engine.restart, 2000)
-    fleet.write(f"servers/{engine.id}", engine.record())
+    fleet.write(f"servers/{engine.id}", engine.store_document())
     response = connection.getresponse()
     assert event_ids(response.read()) == [1, 2, 3, 4]
     assert len(runs(fleet, "mid")) == 2
@@ -599,7 +605,7 @@
     for name in ("d1", "d2"):
         engine = fleet.engines[name]
         engine.started_at_ms = 1000
-        fleet.write(f"servers/{name}", engine.record())
+        fleet.write(f"servers/{name}", engine.store_document())
         engine.started_at_ms = 2000
     until(
         lambda: any("d1@1000" in r["instance"] for r in fleet.events("order"))
@@ -607,5 +613,5 @@
     )
     assert not fleet.engines["d1"].orders and not fleet.engines["d2"].orders
     for name in ("d1", "d2"):
-        fleet.write(f"servers/{name}", fleet.engines[name].record())
+        fleet.write(f"servers/{name}", fleet.engines[name].store_document())
     until(lambda: fleet.engines["d1"].orders or fleet.engines["d2"].orders)
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -107,7 +107,7 @@
 # Guards against an engine that drains being used again, as the copy says it is ready.
 def test_engine_that_drains_stays_out(fleet):
     copied = fleet.call(fleet.store.snapshot)
-    fleet.write("servers/d1", fleet.engines["d1"].record("draining"))
+    fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
         until(lambda: fleet.events("instance draining", name))
     lose(fleet, copied)
