--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -99,7 +99,7 @@
     server: object = None
     readers: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
 
-    def record(self, state="ready"):
+    def store_document(self, state="ready"):
         """Return the document that the instance keeps of itself in the store."""
         record = {
             "service": self.service,
