--- a/src/mulberrydock/metrics.py
+++ b/src/mulberrydock/metrics.py
@@ -9,7 +9,7 @@
 #: Tenants with series of their own; the users plan for 560.
 MAX_TENANT_LABELS = 1000
 #: Label of the tenants beyond those.
-OTHER_TENANTS = "other"
+OTHER_TENANTS_LABEL = "other"
 
 
 class EntryMetrics:
@@ -57,7 +57,7 @@
         """
         if tenant not in self.tenants:
             if len(self.tenants) >= MAX_TENANT_LABELS:
-                return OTHER_TENANTS
+                return OTHER_TENANTS_LABEL
             self.tenants.add(tenant)
         return tenant
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,7 +6,7 @@
 import pytest
 
 from mulberrydock.admission import Admission, RetryBudget
-from mulberrydock.metrics import MAX_TENANT_LABELS, OTHER_TENANTS, EntryMetrics
+from mulberrydock.metrics import MAX_TENANT_LABELS, OTHER_TENANTS_LABEL, EntryMetrics
 from mulberrydock.policies import (
     POLICIES,
     CacheTracking,
@@ -216,5 +216,5 @@
 def test_made_up_tenants_share_one_series():
     metrics = EntryMetrics()
     labels = [metrics.tenant_label(f"t{i}") for i in range(MAX_TENANT_LABELS + 5)]
-    assert labels[MAX_TENANT_LABELS:] == [OTHER_TENANTS] * 5
+    assert labels[MAX_TENANT_LABELS:] == [OTHER_TENANTS_LABEL] * 5
     assert metrics.tenant_label("t0") == "t0"
