--- a/src/mulberrydock/log.py
+++ b/src/mulberrydock/log.py
@@ -16,7 +16,7 @@
 
 #: Lines a second over a second's burst; a VM at five times its usual load
 #: writes about a hundred.
-LINES_PER_SECOND = 300
+MAX_LINES_PER_SECOND = 300
 #: Lines of warning level and above are kept beyond that, up to this many.
 WARNINGS_PER_SECOND = 600
 
@@ -54,7 +54,7 @@
             self.second = int(now)
             self.lines = 0
         self.lines += 1
-        bound = LINES_PER_SECOND
+        bound = MAX_LINES_PER_SECOND
         if level >= logging.WARNING:
             bound = WARNINGS_PER_SECOND
         return self.lines <= bound
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -14,7 +14,7 @@
     Stage,
 )
 from mulberrydock.lease import Authority
-from mulberrydock.log import LINES_PER_SECOND, LineSink
+from mulberrydock.log import MAX_LINES_PER_SECOND, LineSink
 from mulberrydock.request import Kind, Route, RoutingConfig, Split
 from mulberrydock.route_table import RouteTable
 from mulberrydock.sse import EventSplitter
@@ -181,7 +181,7 @@
     os.set_blocking(writer, False)
     sink = LineSink(writer)
     level = type("Level", (), {"no": 20, "name": "INFO"})
-    for number in range(LINES_PER_SECOND * 3):
+    for number in range(MAX_LINES_PER_SECOND * 3):
         message = Message()
         message.record = {
             "time": datetime.datetime.now(datetime.timezone.utc),
