--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -17,7 +17,7 @@
 from mulberrydock.standin.platform_engine import PlatformEngine
 
 HOST = "shop.example"
-LETTER = "/letters/"
+RESUMABLE_PATH = "/letters/"
 QUERY = "/queries/"
 STATUS = "/status/"
 RECEIPT = "/receipts/"
@@ -78,7 +78,7 @@
 def config(version, routes=None):
     """Return a configuration document with the usual four routes."""
     routes = routes or [
-        route(LETTER, "streaming", "llm", resumable=True, target_gap_ms=300),
+        route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
         route(QUERY, "streaming", "llm", max_attempts=1, target_gap_ms=300),
         route(STATUS, "idempotent", "app"),
         route(RECEIPT, "non_idempotent", "app"),
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -27,9 +27,9 @@
 import attrs
 import defopt
 from platform_fleet import (
-    LETTER,
     QUERY,
     RECEIPT,
+    RESUMABLE_PATH,
     STATUS,
     PlatformFleet,
     config,
@@ -44,7 +44,7 @@
 from mulberrydock.standin.platform_engine import Fault
 
 #: Kinds of request and whether one that may have run may be sent again.
-REPEATABLE = {LETTER: True, QUERY: False, STATUS: True, RECEIPT: False}
+REPEATABLE = {RESUMABLE_PATH: True, QUERY: False, STATUS: True, RECEIPT: False}
 #: Answers that promise that the request has not run and never will.
 PROMISES = (408, 421, 429, 503)
 #: Events of a whole stream of the stand-ins.
@@ -271,7 +271,7 @@
             self._crash(f"entry-{draw.randrange(self.daemons)}", f"crash-{count}")
 
     def _crash(self, name, request_id):
-        outcome = Outcome(request_id, LETTER, CRASHING)
+        outcome = Outcome(request_id, RESUMABLE_PATH, CRASHING)
         try:
             self._exchange(self.fleet.connect(name), outcome, "100,10")
         except Exception as error:  # http.client raises its own, unlisted
@@ -375,7 +375,7 @@
         return []
     if not outcome.signature:
         return [f"MIXED: {outcome.id} got a success that no instance signed"]
-    if outcome.prefix in (LETTER, QUERY):
+    if outcome.prefix in (RESUMABLE_PATH, QUERY):
         own = outcome.body.count(f"data: {outcome.id}\n".encode())
         if event_ids(outcome.body) != WHOLE_STREAM or own != len(WHOLE_STREAM):
             return [f"ORDER: {outcome.id} got {outcome.body!r} as a whole stream"]
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -16,9 +16,9 @@
 
 import pytest
 from platform_fleet import (
-    LETTER,
     QUERY,
     RECEIPT,
+    RESUMABLE_PATH,
     STATUS,
     PlatformFleet,
     config,
@@ -97,7 +97,7 @@
     assert crashes(fleet) >= CRASHES
 
 
-@pytest.mark.parametrize("prefix", [LETTER, QUERY, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, QUERY, STATUS, RECEIPT])
 def test_request_that_crashed_three_engines_is_sent_on_by_no_vm(fleet, prefix):
     """A client's request crashes every engine that runs it, and the client sends it
     again and again, to whichever VM: those that saw the crashes, one that saw none of
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -10,9 +10,9 @@
 import pytest
 from platform_fleet import (
     HOST,
-    LETTER,
     QUERY,
     RECEIPT,
+    RESUMABLE_PATH,
     STATUS,
     PlatformFleet,
     config,
@@ -51,7 +51,7 @@
     return [r for e in fleet.engines.values() for r in e.runs if r.id == request_id]
 
 
-@pytest.mark.parametrize("prefix", [LETTER, QUERY, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, QUERY, STATUS, RECEIPT])
 def test_ordinary_request(fleet, prefix):
     """A client sends one request and gets the instance's own whole answer,
     with its signature; the instance ran it once, with path, query and body
@@ -83,7 +83,10 @@
     }
     connection = fleet.connect()
     send(
-        connection, LETTER, "r2", **{k.replace("-", "_"): v for k, v in forged.items()}
+        connection,
+        RESUMABLE_PATH,
+        "r2",
+        **{k.replace("-", "_"): v for k, v in forged.items()},
     )
     assert connection.getresponse().status == 200
     (run,) = runs(fleet, "r2")
@@ -101,7 +104,7 @@
     for engine in ("d1", "d2"):
         fleet.engines[engine].event_interval_seconds = EVENT_SECONDS
     fleet.fail_next("llm", fault)
-    response = fleet.request(LETTER, "r3")
+    response = fleet.request(RESUMABLE_PATH, "r3")
     assert response.whole and event_ids(response.text) == [1, 2, 3, 4]
     first, second = sorted(runs(fleet, "r3"), key=lambda r: r.last_event_id)
     assert (first.last_event_id, second.last_event_id) == (0, 2)
@@ -110,7 +113,7 @@
     )
 
 
-@pytest.mark.parametrize("prefix", [LETTER, STATUS])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STATUS])
 def test_silent_instance_is_kept_when_there_is_no_other(fleet, prefix):
     """An instance is silent for longer than usual and then goes on. Every
     other one is leaving. Ending the answer would lose it for nothing, so the
@@ -153,7 +156,7 @@
     assert len(runs(fleet, "r6")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, LETTER])
+@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, RESUMABLE_PATH])
 def test_refused_request_goes_to_another_instance(fleet, prefix):
     """An instance is full and says that it did not run the request. Another
     one is asked, also for a renewal: nothing ran yet."""
@@ -163,7 +166,7 @@
     assert len(runs(fleet, "r7")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, LETTER])
+@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, RESUMABLE_PATH])
 def test_request_that_ran_nowhere_gets_a_promise(fleet, prefix):
     """Every instance is full. The client gets 503 with a time to come back,
     and the request never runs."""
@@ -218,13 +221,13 @@
     prefill = fleet.add("p1", "llm", "prefill")
     until(lambda: '"instance":"p1"' in fleet.log())
     long_prompt = {"X_Mulberrydock_Token_Counts": "9000,10"}
-    response = fleet.request(LETTER, "u1", **long_prompt)
+    response = fleet.request(RESUMABLE_PATH, "u1", **long_prompt)
     assert response.whole and prefill.prefills == ["u1"]
     (run,) = runs(fleet, "u1")
     assert run.headers[wire.KV_SOURCE] == f"{prefill.address}/h0"
     for engine in ("d1", "d2"):
         fleet.engines[engine].faults.append(Fault.REFUSE)
-    response = fleet.request(LETTER, "u2", **long_prompt)
+    response = fleet.request(RESUMABLE_PATH, "u2", **long_prompt)
     until(lambda: "h1" in prefill.released_handles)
 
 
@@ -236,7 +239,7 @@
     prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
     until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
-    send(connection, LETTER, "q1", X_Mulberrydock_Token_Counts="200000,10")
+    send(connection, RESUMABLE_PATH, "q1", X_Mulberrydock_Token_Counts="200000,10")
     until(lambda: prefill.prefills)
     fleet.add("d3", "llm", "decode")
     for engine in ("d1", "d2"):
@@ -249,7 +252,7 @@
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
 
 
-@pytest.mark.parametrize("prefix", [LETTER, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STATUS, RECEIPT])
 def test_client_that_leaves_stops_the_work(fleet, prefix):
     """A client closes its connection while an instance works for it. The
     instance's connection is closed at once, so that it drops the work."""
@@ -311,7 +314,9 @@
     fleet.call(prefill.stop)
     prefill.id = "stranger"
     fleet.call(prefill.listen)
-    response = fleet.request(LETTER, "pr1", X_Mulberrydock_Token_Counts="9000,10")
+    response = fleet.request(
+        RESUMABLE_PATH, "pr1", X_Mulberrydock_Token_Counts="9000,10"
+    )
     assert event_ids(response.text) == [1, 2, 3, 4]
     assert prefill.misdirected == 1
 
@@ -328,7 +333,7 @@
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
     until(lambda: len(fleet.events("instance draining")) == 2)
-    response = fleet.request(LETTER, "cb1", X_Mulberrydock_Deadline_Ms=deadline)
+    response = fleet.request(RESUMABLE_PATH, "cb1", X_Mulberrydock_Deadline_Ms=deadline)
     assert response.status == 503
     assert float(response.headers["Retry-After"]) == pytest.approx(seconds, abs=0.11)
 
@@ -343,7 +348,9 @@
         for name in ("p1", "p2")
     ]
     until(lambda: all(f'"instance":"p{n}"' in fleet.log() for n in (1, 2)))
-    response = fleet.request(LETTER, "po1", X_Mulberrydock_Token_Counts="9000,10")
+    response = fleet.request(
+        RESUMABLE_PATH, "po1", X_Mulberrydock_Token_Counts="9000,10"
+    )
     assert response.status == 200 and not refusals
     assert sorted(len(engine.prefills) for engine in engines) == [0, 1]
     (run,) = runs(fleet, "po1")
@@ -361,10 +368,12 @@
     prefill.id = "stranger"
     for number in range(4):
         fleet.fail_next("llm", *[Fault.CRASH_BEFORE_ANSWER] * 2)
-        fleet.request(LETTER, f"pr2-{number}")
+        fleet.request(RESUMABLE_PATH, f"pr2-{number}")
     fleet.fail_next("llm")
     fleet.call(prefill.listen)
-    response = fleet.request(LETTER, "pr3", X_Mulberrydock_Token_Counts="9000,10")
+    response = fleet.request(
+        RESUMABLE_PATH, "pr3", X_Mulberrydock_Token_Counts="9000,10"
+    )
     assert response.status == 200
     assert prefill.misdirected == 1
 
@@ -455,7 +464,7 @@
     kept = fleet.connect()
     assert fleet.request(STATUS, "g0", kept).status == 200
     connection = fleet.connect()
-    send(connection, LETTER, "g1")
+    send(connection, RESUMABLE_PATH, "g1")
     until(lambda: runs(fleet, "g1"))
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
     until(lambda: not fleet.ready())
@@ -527,9 +536,11 @@
     prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
     until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
-    send(connection, LETTER, "u1", X_Mulberrydock_Token_Counts="2000000,10")
+    send(connection, RESUMABLE_PATH, "u1", X_Mulberrydock_Token_Counts="2000000,10")
     until(lambda: prefill.prefills)
-    response = fleet.request(LETTER, "u2", X_Mulberrydock_Token_Counts="12000,10")
+    response = fleet.request(
+        RESUMABLE_PATH, "u2", X_Mulberrydock_Token_Counts="12000,10"
+    )
     assert response.status == 503
     assert 0 < float(response.headers["Retry-After"]) <= 1.0
     assert runs(fleet, "u2") == []
@@ -563,7 +574,7 @@
     engine = fleet.add("p1", "llm", "prefill", prefill_gate=gate, started_at_ms=1000)
     until(lambda: '"instance":"p1@1000"' in fleet.log())
     connection = fleet.connect()
-    send(connection, LETTER, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
+    send(connection, RESUMABLE_PATH, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
     until(lambda: engine.prefills)
     # The new start registers while the old one's answer is on its way.
     fleet.write("servers/p1", dict(engine.store_document(), born=2000))
@@ -586,7 +597,7 @@
             fleet.write(f"servers/{engine.id}", engine.store_document())
     until(lambda: len(fleet.events("instance gone")) == 2)
     connection = fleet.connect()
-    send(connection, LETTER, "mid")
+    send(connection, RESUMABLE_PATH, "mid")
     until(lambda: runs(fleet, "mid"))
     (run,) = runs(fleet, "mid")
     engine = next(e for e in fleet.engines.values() if run in e.runs)
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_fleet import LETTER, QUERY, PlatformFleet, config, route
+from platform_fleet import QUERY, RESUMABLE_PATH, PlatformFleet, config, route
 
 #: Requests a second that the overloaded engine takes, and seconds of the test.
 LIMIT = 1.0
@@ -18,7 +18,7 @@
 SLACK = 5
 VMS = ("entry-1", "entry-2", "entry-3")
 ROUTES = [
-    route(LETTER, "streaming", "llm", resumable=True, target_gap_ms=300),
+    route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
     route(QUERY, "streaming", "llm", max_attempts=1, target_gap_ms=300),
 ]
 
@@ -63,7 +63,7 @@
     while time.monotonic() - first < SECONDS:
         name = VMS[number % len(VMS)]
         headers = {"X-Mulberrydock-Token-Counts": tokens}
-        prefix = (LETTER, QUERY)[number // len(VMS) % 2]
+        prefix = (RESUMABLE_PATH, QUERY)[number // len(VMS) % 2]
         answer = fleet.request(prefix, f"r{number}", name=name, **headers)
         assert answer.status in (200, 503)
         number += 1
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from platform_fleet import LETTER, PlatformFleet, config, until
+from platform_fleet import RESUMABLE_PATH, PlatformFleet, config, until
 
 from mulberrydock.instances import (
     DOUBT_SECONDS,
@@ -101,7 +101,7 @@
         return keys == before and len(set(leases)) == len(leases)
 
     until(registered)
-    assert fleet.request(LETTER, "r1").status == 200
+    assert fleet.request(RESUMABLE_PATH, "r1").status == 200
 
 
 # Guards against an engine that drains being used again, as the copy says it is ready.
@@ -114,7 +114,7 @@
     for name in fleet.daemons:
         until(lambda: fleet.events("store restored from an older copy", name))
     for number in range(6):
-        assert fleet.request(LETTER, f"r{number}").status == 200
+        assert fleet.request(RESUMABLE_PATH, f"r{number}").status == 200
     assert not fleet.engines["d1"].runs
 
 
