--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -18,7 +18,7 @@
 
 HOST = "shop.example"
 RESUMABLE_PATH = "/letters/"
-QUERY = "/queries/"
+STREAM_PATH = "/queries/"
 STATUS = "/status/"
 RECEIPT = "/receipts/"
 
@@ -79,7 +79,7 @@
     """Return a configuration document with the usual four routes."""
     routes = routes or [
         route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
-        route(QUERY, "streaming", "llm", max_attempts=1, target_gap_ms=300),
+        route(STREAM_PATH, "streaming", "llm", max_attempts=1, target_gap_ms=300),
         route(STATUS, "idempotent", "app"),
         route(RECEIPT, "non_idempotent", "app"),
     ]
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -27,10 +27,10 @@
 import attrs
 import defopt
 from platform_fleet import (
-    QUERY,
     RECEIPT,
     RESUMABLE_PATH,
     STATUS,
+    STREAM_PATH,
     PlatformFleet,
     config,
     event_ids,
@@ -44,7 +44,7 @@
 from mulberrydock.standin.platform_engine import Fault
 
 #: Kinds of request and whether one that may have run may be sent again.
-REPEATABLE = {RESUMABLE_PATH: True, QUERY: False, STATUS: True, RECEIPT: False}
+REPEATABLE = {RESUMABLE_PATH: True, STREAM_PATH: False, STATUS: True, RECEIPT: False}
 #: Answers that promise that the request has not run and never will.
 PROMISES = (408, 421, 429, 503)
 #: Events of a whole stream of the stand-ins.
@@ -375,7 +375,7 @@
         return []
     if not outcome.signature:
         return [f"MIXED: {outcome.id} got a success that no instance signed"]
-    if outcome.prefix in (RESUMABLE_PATH, QUERY):
+    if outcome.prefix in (RESUMABLE_PATH, STREAM_PATH):
         own = outcome.body.count(f"data: {outcome.id}\n".encode())
         if event_ids(outcome.body) != WHOLE_STREAM or own != len(WHOLE_STREAM):
             return [f"ORDER: {outcome.id} got {outcome.body!r} as a whole stream"]
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -16,10 +16,10 @@
 
 import pytest
 from platform_fleet import (
-    QUERY,
     RECEIPT,
     RESUMABLE_PATH,
     STATUS,
+    STREAM_PATH,
     PlatformFleet,
     config,
     send,
@@ -97,7 +97,7 @@
     assert crashes(fleet) >= CRASHES
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, QUERY, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STREAM_PATH, STATUS, RECEIPT])
 def test_request_that_crashed_three_engines_is_sent_on_by_no_vm(fleet, prefix):
     """A client's request crashes every engine that runs it, and the client sends it
     again and again, to whichever VM: those that saw the crashes, one that saw none of
@@ -130,12 +130,14 @@
         fleet.wait_ready(instances=["d1@1"])
         for turn in range(CRASHES):
             connection = fleet.connect()
-            send(connection, QUERY, f"bystander-{turn}", body=SOUND)
+            send(connection, STREAM_PATH, f"bystander-{turn}", body=SOUND)
             connection.getresponse().read(1)
             time.sleep(HARMLESS_SECONDS)
-            fleet.request(QUERY, f"crash-{turn}", body=CRASHING + str(turn).encode())
+            fleet.request(
+                STREAM_PATH, f"crash-{turn}", body=CRASHING + str(turn).encode()
+            )
             assert engine.crashes == turn + 1
             until(lambda: len(fleet.events("instance seen")) == turn + 2)
-        assert fleet.request(QUERY, "bystander", body=SOUND).status == 200
+        assert fleet.request(STREAM_PATH, "bystander", body=SOUND).status == 200
     finally:
         fleet.stop()
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -10,10 +10,10 @@
 import pytest
 from platform_fleet import (
     HOST,
-    QUERY,
     RECEIPT,
     RESUMABLE_PATH,
     STATUS,
+    STREAM_PATH,
     PlatformFleet,
     config,
     event_ids,
@@ -51,7 +51,7 @@
     return [r for e in fleet.engines.values() for r in e.runs if r.id == request_id]
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, QUERY, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STREAM_PATH, STATUS, RECEIPT])
 def test_ordinary_request(fleet, prefix):
     """A client sends one request and gets the instance's own whole answer,
     with its signature; the instance ran it once, with path, query and body
@@ -137,7 +137,7 @@
     for engine in ("d1", "d2"):
         fleet.engines[engine].event_interval_seconds = EVENT_SECONDS
     fleet.fail_next("llm", Fault.CUT)
-    response = fleet.request(QUERY, "r5")
+    response = fleet.request(STREAM_PATH, "r5")
     assert not response.whole
     assert len(runs(fleet, "r5")) == 1
 
@@ -156,7 +156,7 @@
     assert len(runs(fleet, "r6")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, RESUMABLE_PATH])
+@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, STREAM_PATH, RESUMABLE_PATH])
 def test_refused_request_goes_to_another_instance(fleet, prefix):
     """An instance is full and says that it did not run the request. Another
     one is asked, also for a renewal: nothing ran yet."""
@@ -166,7 +166,7 @@
     assert len(runs(fleet, "r7")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, QUERY, RESUMABLE_PATH])
+@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, STREAM_PATH, RESUMABLE_PATH])
 def test_request_that_ran_nowhere_gets_a_promise(fleet, prefix):
     """Every instance is full. The client gets 503 with a time to come back,
     and the request never runs."""
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_fleet import QUERY, RESUMABLE_PATH, PlatformFleet, config, route
+from platform_fleet import RESUMABLE_PATH, STREAM_PATH, PlatformFleet, config, route
 
 #: Requests a second that the overloaded engine takes, and seconds of the test.
 LIMIT = 1.0
@@ -19,7 +19,7 @@
 VMS = ("entry-1", "entry-2", "entry-3")
 ROUTES = [
     route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
-    route(QUERY, "streaming", "llm", max_attempts=1, target_gap_ms=300),
+    route(STREAM_PATH, "streaming", "llm", max_attempts=1, target_gap_ms=300),
 ]
 
 
@@ -63,7 +63,7 @@
     while time.monotonic() - first < SECONDS:
         name = VMS[number % len(VMS)]
         headers = {"X-Mulberrydock-Token-Counts": tokens}
-        prefix = (RESUMABLE_PATH, QUERY)[number // len(VMS) % 2]
+        prefix = (RESUMABLE_PATH, STREAM_PATH)[number // len(VMS) % 2]
         answer = fleet.request(prefix, f"r{number}", name=name, **headers)
         assert answer.status in (200, 503)
         number += 1
