--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -19,7 +19,7 @@
 HOST = "shop.example"
 RESUMABLE_PATH = "/letters/"
 STREAM_PATH = "/queries/"
-STATUS = "/status/"
+IDEMPOTENT_PATH = "/status/"
 RECEIPT = "/receipts/"
 
 SETTINGS = """
@@ -80,7 +80,7 @@
     routes = routes or [
         route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
         route(STREAM_PATH, "streaming", "llm", max_attempts=1, target_gap_ms=300),
-        route(STATUS, "idempotent", "app"),
+        route(IDEMPOTENT_PATH, "idempotent", "app"),
         route(RECEIPT, "non_idempotent", "app"),
     ]
     services = [
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -27,9 +27,9 @@
 import attrs
 import defopt
 from platform_fleet import (
+    IDEMPOTENT_PATH,
     RECEIPT,
     RESUMABLE_PATH,
-    STATUS,
     STREAM_PATH,
     PlatformFleet,
     config,
@@ -44,7 +44,12 @@
 from mulberrydock.standin.platform_engine import Fault
 
 #: Kinds of request and whether one that may have run may be sent again.
-REPEATABLE = {RESUMABLE_PATH: True, STREAM_PATH: False, STATUS: True, RECEIPT: False}
+REPEATABLE = {
+    RESUMABLE_PATH: True,
+    STREAM_PATH: False,
+    IDEMPOTENT_PATH: True,
+    RECEIPT: False,
+}
 #: Answers that promise that the request has not run and never will.
 PROMISES = (408, 421, 429, 503)
 #: Events of a whole stream of the stand-ins.
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -16,9 +16,9 @@
 
 import pytest
 from platform_fleet import (
+    IDEMPOTENT_PATH,
     RECEIPT,
     RESUMABLE_PATH,
-    STATUS,
     STREAM_PATH,
     PlatformFleet,
     config,
@@ -97,7 +97,9 @@
     assert crashes(fleet) >= CRASHES
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STREAM_PATH, STATUS, RECEIPT])
+@pytest.mark.parametrize(
+    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, RECEIPT]
+)
 def test_request_that_crashed_three_engines_is_sent_on_by_no_vm(fleet, prefix):
     """A client's request crashes every engine that runs it, and the client sends it
     again and again, to whichever VM: those that saw the crashes, one that saw none of
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -10,9 +10,9 @@
 import pytest
 from platform_fleet import (
     HOST,
+    IDEMPOTENT_PATH,
     RECEIPT,
     RESUMABLE_PATH,
-    STATUS,
     STREAM_PATH,
     PlatformFleet,
     config,
@@ -51,7 +51,9 @@
     return [r for e in fleet.engines.values() for r in e.runs if r.id == request_id]
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STREAM_PATH, STATUS, RECEIPT])
+@pytest.mark.parametrize(
+    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, RECEIPT]
+)
 def test_ordinary_request(fleet, prefix):
     """A client sends one request and gets the instance's own whole answer,
     with its signature; the instance ran it once, with path, query and body
@@ -113,7 +115,7 @@
     )
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STATUS])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH])
 def test_silent_instance_is_kept_when_there_is_no_other(fleet, prefix):
     """An instance is silent for longer than usual and then goes on. Every
     other one is leaving. Ending the answer would lose it for nothing, so the
@@ -156,7 +158,9 @@
     assert len(runs(fleet, "r6")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, STREAM_PATH, RESUMABLE_PATH])
+@pytest.mark.parametrize(
+    "prefix", [RECEIPT, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
+)
 def test_refused_request_goes_to_another_instance(fleet, prefix):
     """An instance is full and says that it did not run the request. Another
     one is asked, also for a renewal: nothing ran yet."""
@@ -166,7 +170,9 @@
     assert len(runs(fleet, "r7")) == 1
 
 
-@pytest.mark.parametrize("prefix", [RECEIPT, STATUS, STREAM_PATH, RESUMABLE_PATH])
+@pytest.mark.parametrize(
+    "prefix", [RECEIPT, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
+)
 def test_request_that_ran_nowhere_gets_a_promise(fleet, prefix):
     """Every instance is full. The client gets 503 with a time to come back,
     and the request never runs."""
@@ -193,7 +199,7 @@
     """A status lookup fails at one instance in some way. The client gets the
     other instance's whole answer in time."""
     left = fleet.fail_next("app", fault)
-    response = fleet.request(STATUS, "r9")
+    response = fleet.request(IDEMPOTENT_PATH, "r9")
     assert (response.status, response.whole) == (200, True)
     assert response.text.endswith(b"r9")
     assert not left
@@ -252,7 +258,7 @@
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, STATUS, RECEIPT])
+@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH, RECEIPT])
 def test_client_that_leaves_stops_the_work(fleet, prefix):
     """A client closes its connection while an instance works for it. The
     instance's connection is closed at once, so that it drops the work."""
@@ -285,7 +291,7 @@
     fleet.write("servers/a1", fleet.engines["a1"].store_document("draining"))
     until(lambda: fleet.events("instance draining"))
     for number in range(6):
-        assert fleet.request(STATUS, f"x{number}").status == 200
+        assert fleet.request(IDEMPOTENT_PATH, f"x{number}").status == 200
     assert fleet.engines["a1"].runs == []
 
 
@@ -386,10 +392,10 @@
         lambda: any(r["version"] == 9 for r in fleet.events("configuration in force"))
     )
     fleet.call(fleet.store.compact_history)
-    rows = [route(STATUS, "idempotent", "llm")]
+    rows = [route(IDEMPOTENT_PATH, "idempotent", "llm")]
     fleet.write("op/config", config(5, rows))
     time.sleep(0.5)
-    assert fleet.request(STATUS, "z1").text.startswith(b"a")
+    assert fleet.request(IDEMPOTENT_PATH, "z1").text.startswith(b"a")
     assert fleet.request(RECEIPT, "z2").status == 200
     versions = [r["version"] for r in fleet.events("configuration in force")]
     assert versions == sorted(versions)
@@ -404,15 +410,15 @@
     until(lambda: fleet.events("store lost"))
     for instance in list(fleet.engines):
         fleet.remove(f"servers/{instance}")
-    assert fleet.request(STATUS, "o1").status == 200
+    assert fleet.request(IDEMPOTENT_PATH, "o1").status == 200
     setattr(fleet.store, trouble, False)
     until(lambda: len(fleet.events("store answers")) > 1)
-    assert fleet.request(STATUS, "o2").status == 200
+    assert fleet.request(IDEMPOTENT_PATH, "o2").status == 200
     for instance in ("d1", "d2", "a1"):
         fleet.write(f"servers/{instance}", fleet.engines[instance].store_document())
     until(lambda: any(r["instance"] == "a2" for r in fleet.events("instance gone")))
     assert {r["instance"] for r in fleet.events("instance gone")} == {"a2"}
-    assert fleet.request(STATUS, "o3").status == 200
+    assert fleet.request(IDEMPOTENT_PATH, "o3").status == 200
 
 
 def test_lost_answers_of_the_store_leave_the_vm_registered(fleet):
@@ -445,7 +451,7 @@
     try:
         until(lambda: fleet.events("store lost"))
         assert not fleet.ready()
-        assert fleet.request(STATUS, "n1").status == 503
+        assert fleet.request(IDEMPOTENT_PATH, "n1").status == 503
         fleet.store.refusing = False
         fleet.write("op/config", config(1))
         until(lambda: fleet.ready())
@@ -462,7 +468,7 @@
     for engine in ("d1", "d2"):
         fleet.engines[engine].event_interval_seconds = 0.3
     kept = fleet.connect()
-    assert fleet.request(STATUS, "g0", kept).status == 200
+    assert fleet.request(IDEMPOTENT_PATH, "g0", kept).status == 200
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "g1")
     until(lambda: runs(fleet, "g1"))
@@ -471,7 +477,7 @@
     front = fleet.settings["entry-1"]["front"]
     directory = fleet.settings["entry-2"]["directory"]
     until(lambda: str(front).encode() not in fleet.get(directory, "/resolve")[1])
-    response = fleet.request(STATUS, "g2", kept)
+    response = fleet.request(IDEMPOTENT_PATH, "g2", kept)
     assert (response.status, response.getheader("Connection")) == (200, "close")
     response = connection.getresponse()
     assert event_ids(response.read()) == [1, 2, 3, 4]
@@ -483,10 +489,10 @@
     request so late that its stream would outlast the process. Taken, it would
     be cut when the grace ends. It gets a promise instead and goes elsewhere."""
     kept = fleet.connect()
-    assert fleet.request(STATUS, "l0", kept).status == 200
+    assert fleet.request(IDEMPOTENT_PATH, "l0", kept).status == 200
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
     until(lambda: fleet.events("refusing new requests"))
-    response = fleet.request(STATUS, "l1", kept)
+    response = fleet.request(IDEMPOTENT_PATH, "l1", kept)
     assert response.status == 503
     assert float(response.getheader("Retry-After")) >= 0
     assert runs(fleet, "l1") == []
@@ -507,7 +513,7 @@
 def test_metrics_are_served(fleet):
     """The metrics address shows the configuration version and a histogram of
     the route that served a request."""
-    fleet.request(STATUS, "m1")
+    fleet.request(IDEMPOTENT_PATH, "m1")
     status, body = fleet.get(fleet.settings["entry-1"]["metrics"], "/metrics")
     assert status == 200
     assert b"mulberrydock_config_version 3.0" in body
