--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -20,7 +20,7 @@
 RESUMABLE_PATH = "/letters/"
 STREAM_PATH = "/queries/"
 IDEMPOTENT_PATH = "/status/"
-RECEIPT = "/receipts/"
+NON_IDEMPOTENT_PATH = "/receipts/"
 
 SETTINGS = """
 name = "{name}"
@@ -81,7 +81,7 @@
         route(RESUMABLE_PATH, "streaming", "llm", resumable=True, target_gap_ms=300),
         route(STREAM_PATH, "streaming", "llm", max_attempts=1, target_gap_ms=300),
         route(IDEMPOTENT_PATH, "idempotent", "app"),
-        route(RECEIPT, "non_idempotent", "app"),
+        route(NON_IDEMPOTENT_PATH, "non_idempotent", "app"),
     ]
     services = [
         {"name": "llm", "max_connections": 100, "engine": {"kv_tokens": 1000}},
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -28,7 +28,7 @@
 import defopt
 from platform_fleet import (
     IDEMPOTENT_PATH,
-    RECEIPT,
+    NON_IDEMPOTENT_PATH,
     RESUMABLE_PATH,
     STREAM_PATH,
     PlatformFleet,
@@ -48,7 +48,7 @@
     RESUMABLE_PATH: True,
     STREAM_PATH: False,
     IDEMPOTENT_PATH: True,
-    RECEIPT: False,
+    NON_IDEMPOTENT_PATH: False,
 }
 #: Answers that promise that the request has not run and never will.
 PROMISES = (408, 421, 429, 503)
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -17,7 +17,7 @@
 import pytest
 from platform_fleet import (
     IDEMPOTENT_PATH,
-    RECEIPT,
+    NON_IDEMPOTENT_PATH,
     RESUMABLE_PATH,
     STREAM_PATH,
     PlatformFleet,
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, RECEIPT]
+    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH]
 )
 def test_request_that_crashed_three_engines_is_sent_on_by_no_vm(fleet, prefix):
     """A client's request crashes every engine that runs it, and the client sends it
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -11,7 +11,7 @@
 from platform_fleet import (
     HOST,
     IDEMPOTENT_PATH,
-    RECEIPT,
+    NON_IDEMPOTENT_PATH,
     RESUMABLE_PATH,
     STREAM_PATH,
     PlatformFleet,
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, RECEIPT]
+    "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH]
 )
 def test_ordinary_request(fleet, prefix):
     """A client sends one request and gets the instance's own whole answer,
@@ -153,13 +153,13 @@
     Whether the renewal is recorded is unknown: the client gets 502, which
     promises nothing, and no second instance is asked."""
     fleet.fail_next("app", fault)
-    response = fleet.request(RECEIPT, "r6")
+    response = fleet.request(NON_IDEMPOTENT_PATH, "r6")
     assert response.status == 502
     assert len(runs(fleet, "r6")) == 1
 
 
 @pytest.mark.parametrize(
-    "prefix", [RECEIPT, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
+    "prefix", [NON_IDEMPOTENT_PATH, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
 )
 def test_refused_request_goes_to_another_instance(fleet, prefix):
     """An instance is full and says that it did not run the request. Another
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    "prefix", [RECEIPT, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
+    "prefix", [NON_IDEMPOTENT_PATH, IDEMPOTENT_PATH, STREAM_PATH, RESUMABLE_PATH]
 )
 def test_request_that_ran_nowhere_gets_a_promise(fleet, prefix):
     """Every instance is full. The client gets 503 with a time to come back,
@@ -214,7 +214,7 @@
         fleet.engines[engine].faults.extend([fault] * 5)
     connection = fleet.connect()
     for number in range(12):
-        response = fleet.request(RECEIPT, f"t{number}", connection)
+        response = fleet.request(NON_IDEMPOTENT_PATH, f"t{number}", connection)
         assert response.status == 200
         assert response.text.decode().endswith(f"answers t{number}")
     connection.close()
@@ -258,7 +258,9 @@
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
 
 
-@pytest.mark.parametrize("prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH, RECEIPT])
+@pytest.mark.parametrize(
+    "prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH]
+)
 def test_client_that_leaves_stops_the_work(fleet, prefix):
     """A client closes its connection while an instance works for it. The
     instance's connection is closed at once, so that it drops the work."""
@@ -275,14 +277,14 @@
     """A route's timeout is shorter than the client's patience and the
     instance hangs. The final answer comes at the timeout and promises
     nothing, as the request has been sent."""
-    rows = [route(RECEIPT, "non_idempotent", "app", timeout_ms=400)]
+    rows = [route(NON_IDEMPOTENT_PATH, "non_idempotent", "app", timeout_ms=400)]
     fleet.write("op/config", config(4, rows))
     until(
         lambda: any(r["version"] == 4 for r in fleet.events("configuration in force"))
     )
     for engine in ("a1", "a2"):
         fleet.engines[engine].faults.append(Fault.HANG)
-    assert fleet.request(RECEIPT, "w1").status == 504
+    assert fleet.request(NON_IDEMPOTENT_PATH, "w1").status == 504
 
 
 def test_draining_instance_gets_nothing_new(fleet):
@@ -305,7 +307,7 @@
     old.id = "stranger"
     fleet.call(old.listen)
     for number in range(6):
-        response = fleet.request(RECEIPT, f"y{number}")
+        response = fleet.request(NON_IDEMPOTENT_PATH, f"y{number}")
         assert response.status == 200
         assert response.text.startswith(b"a2")
     assert old.runs == []
@@ -396,7 +398,7 @@
     fleet.write("op/config", config(5, rows))
     time.sleep(0.5)
     assert fleet.request(IDEMPOTENT_PATH, "z1").text.startswith(b"a")
-    assert fleet.request(RECEIPT, "z2").status == 200
+    assert fleet.request(NON_IDEMPOTENT_PATH, "z2").status == 200
     versions = [r["version"] for r in fleet.events("configuration in force")]
     assert versions == sorted(versions)
 
@@ -562,12 +564,12 @@
     fleet.call(fleet.store.write_bytes, "servers/a1", raw)
     until(lambda: fleet.events("instance refused"))
     for number in range(4):
-        assert fleet.request(RECEIPT, f"s{number}").status == 200
+        assert fleet.request(NON_IDEMPOTENT_PATH, f"s{number}").status == 200
     assert [len(runs(fleet, f"s{n}")) for n in range(4)] == [1] * 4
     assert not fleet.engines["a1"].runs
     fleet.write("servers/a1", fleet.engines["a1"].store_document())
     fleet.remove("servers/a2")
-    until(lambda: fleet.request(RECEIPT, "again").status == 200)
+    until(lambda: fleet.request(NON_IDEMPOTENT_PATH, "again").status == 200)
     assert len(fleet.events("instance refused")) == 1
     assert not fleet.events("task ended")
 
