--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -48,7 +48,7 @@
 """
 
 
-def until(check, seconds=15.0):
+def wait_until(check, seconds=15.0):
     """Wait until ``check()`` is true and return its value."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -176,9 +176,9 @@
 
     def wait_ready(self, name="entry-1", instances=()):
         """Wait until the daemon is ready and knows ``instances``."""
-        until(lambda: self.ready(name))
+        wait_until(lambda: self.ready(name))
         for instance in instances or self.engines:
-            until(lambda: f'"instance":"{instance}"' in self.log(name))
+            wait_until(lambda: f'"instance":"{instance}"' in self.log(name))
 
     def log(self, name="entry-1"):
         """Return what the daemon wrote so far."""
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -35,7 +35,7 @@
     config,
     event_ids,
     send,
-    until,
+    wait_until,
 )
 
 from mulberrydock.fleet import free_ports
@@ -260,7 +260,7 @@
     def _recovers(self):
         served = len(self.outcomes)
         try:
-            until(lambda: self._served_since(served) >= CLIENTS, RECOVERY_SECONDS)
+            wait_until(lambda: self._served_since(served) >= CLIENTS, RECOVERY_SECONDS)
         except AssertionError:
             return False
         return True
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -23,7 +23,7 @@
     PlatformFleet,
     config,
     send,
-    until,
+    wait_until,
 )
 
 #: A body whose run crashes the engine, and one that no engine minds.
@@ -107,7 +107,7 @@
     crash_engines(fleet, prefix)
     time.sleep(CONTACT_SECONDS)
     fleet.start("entry-3")
-    until(lambda: fleet.ready("entry-3"))
+    wait_until(lambda: fleet.ready("entry-3"))
     before = arrivals(fleet)
     for turn in range(3):
         for name in (*VMS, "entry-3"):
@@ -115,7 +115,7 @@
             fleet.request(prefix, request_id, name=name, body=CRASHING)
         time.sleep(BACK_SECONDS)
     assert arrivals(fleet) - before <= SENDS_AFTER
-    until(lambda: fleet.request(prefix, "sound", body=SOUND).status == 200, 5.0)
+    wait_until(lambda: fleet.request(prefix, "sound", body=SOUND).status == 200, 5.0)
 
 
 def test_stream_that_ran_beside_a_crashing_request_is_not_blamed(tmp_path):
@@ -139,7 +139,7 @@
                 STREAM_PATH, f"crash-{turn}", body=CRASHING + str(turn).encode()
             )
             assert engine.crashes == turn + 1
-            until(lambda: len(fleet.events("instance seen")) == turn + 2)
+            wait_until(lambda: len(fleet.events("instance seen")) == turn + 2)
         assert fleet.request(STREAM_PATH, "bystander", body=SOUND).status == 200
     finally:
         fleet.stop()
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -19,7 +19,7 @@
     event_ids,
     route,
     send,
-    until,
+    wait_until,
 )
 
 from mulberrydock.platform import wire
@@ -124,7 +124,7 @@
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.events("instance draining")) == 2)
     fleet.fail_next("llm", Fault.PAUSE)
     fleet.fail_next("app", Fault.PAUSE)
     response = fleet.request(prefix, "sp1")
@@ -225,7 +225,7 @@
     its handle. When the client leaves before the first event, the engine
     stops, and a handle that no run took is freed."""
     prefill = fleet.add("p1", "llm", "prefill")
-    until(lambda: '"instance":"p1"' in fleet.log())
+    wait_until(lambda: '"instance":"p1"' in fleet.log())
     long_prompt = {"X_Mulberrydock_Token_Counts": "9000,10"}
     response = fleet.request(RESUMABLE_PATH, "u1", **long_prompt)
     assert response.whole and prefill.prefills == ["u1"]
@@ -234,7 +234,7 @@
     for engine in ("d1", "d2"):
         fleet.engines[engine].faults.append(Fault.REFUSE)
     response = fleet.request(RESUMABLE_PATH, "u2", **long_prompt)
-    until(lambda: "h1" in prefill.released_handles)
+    wait_until(lambda: "h1" in prefill.released_handles)
 
 
 def test_decode_engine_that_leaves_during_the_prefill_gets_nothing(fleet):
@@ -243,16 +243,16 @@
     that stays, not where it seemed best before the wait."""
     gate = asyncio.Event()
     prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
-    until(lambda: '"instance":"p1"' in fleet.log())
+    wait_until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "q1", X_Mulberrydock_Token_Counts="200000,10")
-    until(lambda: prefill.prefills)
+    wait_until(lambda: prefill.prefills)
     fleet.add("d3", "llm", "decode")
     for engine in ("d1", "d2"):
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.events("instance draining")) == 2)
     fleet.call(gate.set)
     assert event_ids(connection.getresponse().read()) == [1, 2, 3, 4]
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
@@ -268,9 +268,9 @@
         engine.faults.append(Fault.HANG)
     connection = fleet.connect()
     send(connection, prefix, "v1")
-    until(lambda: runs(fleet, "v1"))
+    wait_until(lambda: runs(fleet, "v1"))
     connection.close()
-    until(lambda: any(r.ended == "cancelled" for r in runs(fleet, "v1")))
+    wait_until(lambda: any(r.ended == "cancelled" for r in runs(fleet, "v1")))
 
 
 def test_answer_at_the_routes_timeout(fleet):
@@ -279,7 +279,7 @@
     nothing, as the request has been sent."""
     rows = [route(NON_IDEMPOTENT_PATH, "non_idempotent", "app", timeout_ms=400)]
     fleet.write("op/config", config(4, rows))
-    until(
+    wait_until(
         lambda: any(r["version"] == 4 for r in fleet.events("configuration in force"))
     )
     for engine in ("a1", "a2"):
@@ -291,7 +291,7 @@
     """An instance announces that it leaves. From the moment at which the
     daemon knows it, every request goes to the other one."""
     fleet.write("servers/a1", fleet.engines["a1"].store_document("draining"))
-    until(lambda: fleet.events("instance draining"))
+    wait_until(lambda: fleet.events("instance draining"))
     for number in range(6):
         assert fleet.request(IDEMPOTENT_PATH, f"x{number}").status == 200
     assert fleet.engines["a1"].runs == []
@@ -318,7 +318,7 @@
     A long prompt whose prefill is refused there goes on at a decode engine;
     the request doesn't ask the same address again and again."""
     prefill = fleet.add("p1", "llm", "prefill")
-    until(lambda: '"instance":"p1"' in fleet.log())
+    wait_until(lambda: '"instance":"p1"' in fleet.log())
     fleet.call(prefill.stop)
     prefill.id = "stranger"
     fleet.call(prefill.listen)
@@ -340,7 +340,7 @@
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.events("instance draining")) == 2)
     response = fleet.request(RESUMABLE_PATH, "cb1", X_Mulberrydock_Deadline_Ms=deadline)
     assert response.status == 503
     assert float(response.headers["Retry-After"]) == pytest.approx(seconds, abs=0.11)
@@ -355,7 +355,7 @@
         fleet.add(name, "llm", "prefill", prefill_refusals=refusals)
         for name in ("p1", "p2")
     ]
-    until(lambda: all(f'"instance":"p{n}"' in fleet.log() for n in (1, 2)))
+    wait_until(lambda: all(f'"instance":"p{n}"' in fleet.log() for n in (1, 2)))
     response = fleet.request(
         RESUMABLE_PATH, "po1", X_Mulberrydock_Token_Counts="9000,10"
     )
@@ -371,7 +371,7 @@
     must not go round between them: each round costs a send of the budget that
     all VMs share, hundreds a second."""
     prefill = fleet.add("p1", "llm", "prefill")
-    until(lambda: '"instance":"p1"' in fleet.log())
+    wait_until(lambda: '"instance":"p1"' in fleet.log())
     fleet.call(prefill.stop)
     prefill.id = "stranger"
     for number in range(4):
@@ -390,7 +390,7 @@
     """The store forgets its history and then shows an older version. The
     route of the newer version stays in force."""
     fleet.write("op/config", config(9))
-    until(
+    wait_until(
         lambda: any(r["version"] == 9 for r in fleet.events("configuration in force"))
     )
     fleet.call(fleet.store.compact_history)
@@ -409,16 +409,18 @@
     all the while. Back again, instances that return within the grace stay;
     one that is still missing after it is gone."""
     setattr(fleet.store, trouble, True)
-    until(lambda: fleet.events("store lost"))
+    wait_until(lambda: fleet.events("store lost"))
     for instance in list(fleet.engines):
         fleet.remove(f"servers/{instance}")
     assert fleet.request(IDEMPOTENT_PATH, "o1").status == 200
     setattr(fleet.store, trouble, False)
-    until(lambda: len(fleet.events("store answers")) > 1)
+    wait_until(lambda: len(fleet.events("store answers")) > 1)
     assert fleet.request(IDEMPOTENT_PATH, "o2").status == 200
     for instance in ("d1", "d2", "a1"):
         fleet.write(f"servers/{instance}", fleet.engines[instance].store_document())
-    until(lambda: any(r["instance"] == "a2" for r in fleet.events("instance gone")))
+    wait_until(
+        lambda: any(r["instance"] == "a2" for r in fleet.events("instance gone"))
+    )
     assert {r["instance"] for r in fleet.events("instance gone")} == {"a2"}
     assert fleet.request(IDEMPOTENT_PATH, "o3").status == 200
 
@@ -430,17 +432,17 @@
     fleet.start("entry-2")
     fleet.wait_ready("entry-2")
     key = "entries/entry-2"
-    until(lambda: key in fleet.store.items)
-    until(lambda: any(r["peer"] == "entry-2" for r in fleet.events("peer seen")))
+    wait_until(lambda: key in fleet.store.items)
+    wait_until(lambda: any(r["peer"] == "entry-2" for r in fleet.events("peer seen")))
 
 
 def test_record_dropped_by_the_store_is_written_again(fleet):
     """The store drops a VM's record while its lease lives, and no call shows
     it. The VM sees the removal and registers again."""
-    until(lambda: "entries/entry-1" in fleet.store.items)
+    wait_until(lambda: "entries/entry-1" in fleet.store.items)
     revision = fleet.store.items["entries/entry-1"].version
     fleet.remove("entries/entry-1")
-    until(lambda: "entries/entry-1" in fleet.store.items)
+    wait_until(lambda: "entries/entry-1" in fleet.store.items)
     assert fleet.store.items["entries/entry-1"].version > revision
 
 
@@ -451,12 +453,12 @@
     fleet.store.refusing = True
     fleet.start()
     try:
-        until(lambda: fleet.events("store lost"))
+        wait_until(lambda: fleet.events("store lost"))
         assert not fleet.ready()
         assert fleet.request(IDEMPOTENT_PATH, "n1").status == 503
         fleet.store.refusing = False
         fleet.write("op/config", config(1))
-        until(lambda: fleet.ready())
+        wait_until(lambda: fleet.ready())
     finally:
         fleet.stop()
 
@@ -473,12 +475,12 @@
     assert fleet.request(IDEMPOTENT_PATH, "g0", kept).status == 200
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "g1")
-    until(lambda: runs(fleet, "g1"))
+    wait_until(lambda: runs(fleet, "g1"))
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
-    until(lambda: not fleet.ready())
+    wait_until(lambda: not fleet.ready())
     front = fleet.settings["entry-1"]["front"]
     directory = fleet.settings["entry-2"]["directory"]
-    until(lambda: str(front).encode() not in fleet.get(directory, "/resolve")[1])
+    wait_until(lambda: str(front).encode() not in fleet.get(directory, "/resolve")[1])
     response = fleet.request(IDEMPOTENT_PATH, "g2", kept)
     assert (response.status, response.getheader("Connection")) == (200, "close")
     response = connection.getresponse()
@@ -493,7 +495,7 @@
     kept = fleet.connect()
     assert fleet.request(IDEMPOTENT_PATH, "l0", kept).status == 200
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
-    until(lambda: fleet.events("refusing new requests"))
+    wait_until(lambda: fleet.events("refusing new requests"))
     response = fleet.request(IDEMPOTENT_PATH, "l1", kept)
     assert response.status == 503
     assert float(response.getheader("Retry-After")) >= 0
@@ -504,7 +506,7 @@
 def test_pool_without_prefill_engine_gets_one(fleet):
     """Every engine that prefills has left. The holder of the lease orders one
     decode engine to prefill, once, naming the order count it decided on."""
-    orders = until(
+    orders = wait_until(
         lambda: fleet.engines["d1"].orders + fleet.engines["d2"].orders, seconds=20
     )
     assert len(orders) == 1
@@ -542,10 +544,10 @@
     come back that the client honours, and runs nowhere."""
     gate = asyncio.Event()
     prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
-    until(lambda: '"instance":"p1"' in fleet.log())
+    wait_until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "u1", X_Mulberrydock_Token_Counts="2000000,10")
-    until(lambda: prefill.prefills)
+    wait_until(lambda: prefill.prefills)
     response = fleet.request(
         RESUMABLE_PATH, "u2", X_Mulberrydock_Token_Counts="12000,10"
     )
@@ -562,14 +564,14 @@
     read. The daemon goes on with the others, says so once, and sends to that
     instance again as soon as its own record is back."""
     fleet.call(fleet.store.write_bytes, "servers/a1", raw)
-    until(lambda: fleet.events("instance refused"))
+    wait_until(lambda: fleet.events("instance refused"))
     for number in range(4):
         assert fleet.request(NON_IDEMPOTENT_PATH, f"s{number}").status == 200
     assert [len(runs(fleet, f"s{n}")) for n in range(4)] == [1] * 4
     assert not fleet.engines["a1"].runs
     fleet.write("servers/a1", fleet.engines["a1"].store_document())
     fleet.remove("servers/a2")
-    until(lambda: fleet.request(NON_IDEMPOTENT_PATH, "again").status == 200)
+    wait_until(lambda: fleet.request(NON_IDEMPOTENT_PATH, "again").status == 200)
     assert len(fleet.events("instance refused")) == 1
     assert not fleet.events("task ended")
 
@@ -580,13 +582,13 @@
     so the prompt is read anew and no run names the old handle."""
     gate = asyncio.Event()
     engine = fleet.add("p1", "llm", "prefill", prefill_gate=gate, started_at_ms=1000)
-    until(lambda: '"instance":"p1@1000"' in fleet.log())
+    wait_until(lambda: '"instance":"p1@1000"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
-    until(lambda: engine.prefills)
+    wait_until(lambda: engine.prefills)
     # The new start registers while the old one's answer is on its way.
     fleet.write("servers/p1", dict(engine.store_document(), born=2000))
-    until(lambda: fleet.events("instance gone"))
+    wait_until(lambda: fleet.events("instance gone"))
     fleet.loop.call_soon_threadsafe(gate.set)
     response = connection.getresponse()
     assert (response.status, event_ids(response.read())) == (200, [1, 2, 3, 4])
@@ -603,10 +605,10 @@
             engine.event_interval_seconds = 0.2
             engine.started_at_ms = 1000
             fleet.write(f"servers/{engine.id}", engine.store_document())
-    until(lambda: len(fleet.events("instance gone")) == 2)
+    wait_until(lambda: len(fleet.events("instance gone")) == 2)
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "mid")
-    until(lambda: runs(fleet, "mid"))
+    wait_until(lambda: runs(fleet, "mid"))
     (run,) = runs(fleet, "mid")
     engine = next(e for e in fleet.engines.values() if run in e.runs)
     time.sleep(0.3)
@@ -626,11 +628,11 @@
         engine.started_at_ms = 1000
         fleet.write(f"servers/{name}", engine.store_document())
         engine.started_at_ms = 2000
-    until(
+    wait_until(
         lambda: any("d1@1000" in r["instance"] for r in fleet.events("order"))
         or len(fleet.events("instance gone")) >= 3
     )
     assert not fleet.engines["d1"].orders and not fleet.engines["d2"].orders
     for name in ("d1", "d2"):
         fleet.write(f"servers/{name}", fleet.engines[name].store_document())
-    until(lambda: fleet.engines["d1"].orders or fleet.engines["d2"].orders)
+    wait_until(lambda: fleet.engines["d1"].orders or fleet.engines["d2"].orders)
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from platform_fleet import RESUMABLE_PATH, PlatformFleet, config, until
+from platform_fleet import RESUMABLE_PATH, PlatformFleet, config, wait_until
 
 from mulberrydock.instances import (
     DOUBT_SECONDS,
@@ -77,10 +77,10 @@
         fleet.write("op/config", config(version))
     last = 3 + VERSIONS
     for name in fleet.daemons:
-        until(lambda: in_force(fleet, name, last))
+        wait_until(lambda: in_force(fleet, name, last))
     lose(fleet, copied, [("op/config", config(last + 1))])
     for name in fleet.daemons:
-        until(lambda: in_force(fleet, name, last + 1))
+        wait_until(lambda: in_force(fleet, name, last + 1))
         events = fleet.events("configuration in force", name)
         versions = [event["version"] for event in events]
         assert versions == sorted(versions)
@@ -100,7 +100,7 @@
         leases = [fleet.store.items[key].lease for key in keys]
         return keys == before and len(set(leases)) == len(leases)
 
-    until(registered)
+    wait_until(registered)
     assert fleet.request(RESUMABLE_PATH, "r1").status == 200
 
 
@@ -109,10 +109,10 @@
     copied = fleet.call(fleet.store.snapshot)
     fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
-        until(lambda: fleet.events("instance draining", name))
+        wait_until(lambda: fleet.events("instance draining", name))
     lose(fleet, copied)
     for name in fleet.daemons:
-        until(lambda: fleet.events("store restored from an older copy", name))
+        wait_until(lambda: fleet.events("store restored from an older copy", name))
     for number in range(6):
         assert fleet.request(RESUMABLE_PATH, f"r{number}").status == 200
     assert not fleet.engines["d1"].runs
