--- a/tests/soak.py
+++ b/tests/soak.py
@@ -131,7 +131,7 @@
         """Start an instance behind a proxy and register the proxy's address."""
         self.instances += 1
         started_at_ms = int(time.time() * 1000)
-        engine = self.fleet.add(
+        engine = self.fleet.add_instance(
             f"i{self.instances}", service, stage, started_at_ms=started_at_ms
         )
         engine.address = self._proxy(engine.address)
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -64,7 +64,7 @@
 
 
 def add(fleet, name, service, stage=""):
-    fleet.add(
+    fleet.add_instance(
         name,
         service,
         stage,
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -34,10 +34,10 @@
     """A store with a configuration, two of each kind of instance, one daemon."""
     running = PlatformFleet(tmp_path)
     running.write("op/config", config(3))
-    running.add("d1", "llm", "decode")
-    running.add("d2", "llm", "decode")
-    running.add("a1", "app")
-    running.add("a2", "app")
+    running.add_instance("d1", "llm", "decode")
+    running.add_instance("d2", "llm", "decode")
+    running.add_instance("a1", "app")
+    running.add_instance("a2", "app")
     running.start()
     try:
         running.wait_ready()
@@ -224,7 +224,7 @@
     """A long prompt is prefilled by the prefill engine and then decoded from
     its handle. When the client leaves before the first event, the engine
     stops, and a handle that no run took is freed."""
-    prefill = fleet.add("p1", "llm", "prefill")
+    prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
     long_prompt = {"X_Mulberrydock_Token_Counts": "9000,10"}
     response = fleet.request(RESUMABLE_PATH, "u1", **long_prompt)
@@ -242,12 +242,12 @@
     engine but one announces that it leaves. The stream must start at the one
     that stays, not where it seemed best before the wait."""
     gate = asyncio.Event()
-    prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
+    prefill = fleet.add_instance("p1", "llm", "prefill", prefill_gate=gate)
     wait_until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "q1", X_Mulberrydock_Token_Counts="200000,10")
     wait_until(lambda: prefill.prefills)
-    fleet.add("d3", "llm", "decode")
+    fleet.add_instance("d3", "llm", "decode")
     for engine in ("d1", "d2"):
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
@@ -317,7 +317,7 @@
     """A prefill engine ends without a word and another engine has its address.
     A long prompt whose prefill is refused there goes on at a decode engine;
     the request doesn't ask the same address again and again."""
-    prefill = fleet.add("p1", "llm", "prefill")
+    prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
     fleet.call(prefill.stop)
     prefill.id = "stranger"
@@ -352,7 +352,7 @@
     and reads it."""
     refusals = [True]
     engines = [
-        fleet.add(name, "llm", "prefill", prefill_refusals=refusals)
+        fleet.add_instance(name, "llm", "prefill", prefill_refusals=refusals)
         for name in ("p1", "p2")
     ]
     wait_until(lambda: all(f'"instance":"p{n}"' in fleet.log() for n in (1, 2)))
@@ -370,7 +370,7 @@
     engine refuses what it gets, as another one has its address. The request
     must not go round between them: each round costs a send of the budget that
     all VMs share, hundreds a second."""
-    prefill = fleet.add("p1", "llm", "prefill")
+    prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
     fleet.call(prefill.stop)
     prefill.id = "stranger"
@@ -543,7 +543,7 @@
     held, it would only hold up others. It is refused at once, with a time to
     come back that the client honours, and runs nowhere."""
     gate = asyncio.Event()
-    prefill = fleet.add("p1", "llm", "prefill", prefill_gate=gate)
+    prefill = fleet.add_instance("p1", "llm", "prefill", prefill_gate=gate)
     wait_until(lambda: '"instance":"p1"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "u1", X_Mulberrydock_Token_Counts="2000000,10")
@@ -581,7 +581,9 @@
     under its id before the hand-over. Its handle may now be another prompt's,
     so the prompt is read anew and no run names the old handle."""
     gate = asyncio.Event()
-    engine = fleet.add("p1", "llm", "prefill", prefill_gate=gate, started_at_ms=1000)
+    engine = fleet.add_instance(
+        "p1", "llm", "prefill", prefill_gate=gate, started_at_ms=1000
+    )
     wait_until(lambda: '"instance":"p1@1000"' in fleet.log())
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -29,7 +29,7 @@
     running = PlatformFleet(tmp_path)
     running.write("op/config", config(3, ROUTES))
     for instance_id, stage in ("d1", "decode"), ("d2", "decode"), ("p1", "prefill"):
-        running.add(instance_id, "llm", stage)
+        running.add_instance(instance_id, "llm", stage)
     for name in VMS:
         running.start(name)
     try:
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -37,7 +37,7 @@
     running = PlatformFleet(tmp_path)
     running.write("op/config", config(3))
     for instance_id in "d1", "d2":
-        running.add(instance_id, "llm", "decode")
+        running.add_instance(instance_id, "llm", "decode")
     for name in "entry-1", "entry-2":
         running.start(name)
     try:
