--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -129,7 +129,7 @@
         """Remove a key from the store."""
         self.call(self.store.delete, key, None)
 
-    def add(self, instance_id, service, stage="", address="", **options):
+    def add_instance(self, instance_id, service, stage="", address="", **options):
         """Start and register an instance."""
         address = address or f"127.0.0.1:{free_ports(1)[0]}"
         engine = PlatformEngine(instance_id, address, service, stage, **options)
