--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -98,7 +98,7 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.store = self.call(self._start_store)
+        self.store = self.call_on_loop(self._start_store)
         self.store_address = f"127.0.0.1:{self.store_port}"
         self.engines = {}
         self.daemons = {}
@@ -123,17 +123,17 @@
 
     def write(self, key, document):
         """Write a document to the store as the operator or an instance."""
-        self.call(self.store.write, key, document)
+        self.call_on_loop(self.store.write, key, document)
 
     def remove(self, key):
         """Remove a key from the store."""
-        self.call(self.store.delete, key, None)
+        self.call_on_loop(self.store.delete, key, None)
 
     def add_instance(self, instance_id, service, stage="", address="", **options):
         """Start and register an instance."""
         address = address or f"127.0.0.1:{free_ports(1)[0]}"
         engine = PlatformEngine(instance_id, address, service, stage, **options)
-        self.call(engine.listen)
+        self.call_on_loop(engine.listen)
         self.engines[instance_id] = engine
         self.write(f"servers/{instance_id}", engine.store_document())
         return engine
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -123,7 +123,7 @@
     def _proxy(self, target):
         listen = f"127.0.0.1:{free_ports(1)[0]}"
         proxy = FaultProxy(listen, target)
-        self.fleet.call(proxy.open)
+        self.fleet.call_on_loop(proxy.open)
         self.proxies.append(proxy)
         return listen
 
@@ -154,8 +154,8 @@
     def break_connections(self):
         proxy = self.random.choice(self.proxies)
         mode = self.random.choice(("kill", "silent", "delay", "partition"))
-        self.fleet.call(proxy.set_mode, mode, 0.05)
-        self._later(self.fleet.call, proxy.set_mode, "pass")
+        self.fleet.call_on_loop(proxy.set_mode, mode, 0.05)
+        self._later(self.fleet.call_on_loop, proxy.set_mode, "pass")
         return f"{mode} before {proxy.target}"
 
     def break_store(self):
@@ -167,7 +167,7 @@
         return f"store {name}"
 
     def forget(self):
-        self.fleet.call(self.fleet.store.compact_history)
+        self.fleet.call_on_loop(self.fleet.store.compact_history)
         return "store forgets"
 
     def break_instance(self):
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -253,7 +253,7 @@
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
     wait_until(lambda: len(fleet.events("instance draining")) == 2)
-    fleet.call(gate.set)
+    fleet.call_on_loop(gate.set)
     assert event_ids(connection.getresponse().read()) == [1, 2, 3, 4]
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
 
@@ -302,10 +302,10 @@
     The request names the instance it is meant for, is refused there, and goes
     to a sound instance; the dead one is never asked again."""
     old = fleet.engines["a1"]
-    fleet.call(old.stop)
-    fleet.call(lambda: old.server.close_all_connections)
+    fleet.call_on_loop(old.stop)
+    fleet.call_on_loop(lambda: old.server.close_all_connections)
     old.id = "stranger"
-    fleet.call(old.listen)
+    fleet.call_on_loop(old.listen)
     for number in range(6):
         response = fleet.request(NON_IDEMPOTENT_PATH, f"y{number}")
         assert response.status == 200
@@ -319,9 +319,9 @@
     the request doesn't ask the same address again and again."""
     prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
-    fleet.call(prefill.stop)
+    fleet.call_on_loop(prefill.stop)
     prefill.id = "stranger"
-    fleet.call(prefill.listen)
+    fleet.call_on_loop(prefill.listen)
     response = fleet.request(
         RESUMABLE_PATH, "pr1", X_Mulberrydock_Token_Counts="9000,10"
     )
@@ -372,13 +372,13 @@
     all VMs share, hundreds a second."""
     prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
-    fleet.call(prefill.stop)
+    fleet.call_on_loop(prefill.stop)
     prefill.id = "stranger"
     for number in range(4):
         fleet.fail_next("llm", *[Fault.CRASH_BEFORE_ANSWER] * 2)
         fleet.request(RESUMABLE_PATH, f"pr2-{number}")
     fleet.fail_next("llm")
-    fleet.call(prefill.listen)
+    fleet.call_on_loop(prefill.listen)
     response = fleet.request(
         RESUMABLE_PATH, "pr3", X_Mulberrydock_Token_Counts="9000,10"
     )
@@ -393,7 +393,7 @@
     wait_until(
         lambda: any(r["version"] == 9 for r in fleet.events("configuration in force"))
     )
-    fleet.call(fleet.store.compact_history)
+    fleet.call_on_loop(fleet.store.compact_history)
     rows = [route(IDEMPOTENT_PATH, "idempotent", "llm")]
     fleet.write("op/config", config(5, rows))
     time.sleep(0.5)
@@ -554,7 +554,7 @@
     assert response.status == 503
     assert 0 < float(response.headers["Retry-After"]) <= 1.0
     assert runs(fleet, "u2") == []
-    fleet.call(gate.set)
+    fleet.call_on_loop(gate.set)
     assert event_ids(connection.getresponse().read()) == [1, 2, 3, 4]
 
 
@@ -563,7 +563,7 @@
     """Another writer overwrites an instance's record with bytes that can't be
     read. The daemon goes on with the others, says so once, and sends to that
     instance again as soon as its own record is back."""
-    fleet.call(fleet.store.write_bytes, "servers/a1", raw)
+    fleet.call_on_loop(fleet.store.write_bytes, "servers/a1", raw)
     wait_until(lambda: fleet.events("instance refused"))
     for number in range(4):
         assert fleet.request(NON_IDEMPOTENT_PATH, f"s{number}").status == 200
@@ -614,7 +614,7 @@
     (run,) = runs(fleet, "mid")
     engine = next(e for e in fleet.engines.values() if run in e.runs)
     time.sleep(0.3)
-    fleet.call(engine.restart, 2000)
+    fleet.call_on_loop(engine.restart, 2000)
     fleet.write(f"servers/{engine.id}", engine.store_document())
     response = connection.getresponse()
     assert event_ids(response.read()) == [1, 2, 3, 4]
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -60,7 +60,7 @@
         while fleet.store.revision <= known:
             fleet.store.write("op/other", {})
 
-    fleet.call(restore)
+    fleet.call_on_loop(restore)
 
 
 def in_force(fleet, name, version):
@@ -72,7 +72,7 @@
 # Guards against a follower that misses changes whose revisions are given out again, and
 # against one that goes back to an older configuration.
 def test_configuration_goes_on_after_the_store_lost_some(fleet):
-    copied = fleet.call(fleet.store.snapshot)
+    copied = fleet.call_on_loop(fleet.store.snapshot)
     for version in range(4, 4 + VERSIONS):
         fleet.write("op/config", config(version))
     last = 3 + VERSIONS
@@ -89,7 +89,7 @@
 # Guards against VMs that stay without a record, or renew a lease that isn't theirs.
 def test_daemons_register_again_and_serve(fleet):
     before = {key for key in fleet.store.items if key.startswith("entries/")}
-    copied = fleet.call(fleet.store.snapshot)
+    copied = fleet.call_on_loop(fleet.store.snapshot)
     for key in before:
         copied.items.pop(key)
     copied.leases.clear()
@@ -106,7 +106,7 @@
 
 # Guards against an engine that drains being used again, as the copy says it is ready.
 def test_engine_that_drains_stays_out(fleet):
-    copied = fleet.call(fleet.store.snapshot)
+    copied = fleet.call_on_loop(fleet.store.snapshot)
     fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
         wait_until(lambda: fleet.events("instance draining", name))
