--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -104,7 +104,7 @@
         self.daemons = {}
         self.settings = {}
 
-    def call(self, function, *args):
+    def call_on_loop(self, function, *args):
         """Run ``function`` on the stand-ins' loop and return its result."""
 
         async def run():
