--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -139,7 +139,7 @@
                 STREAM_PATH, f"crash-{turn}", body=CRASHING + str(turn).encode()
             )
             assert engine.crashes == turn + 1
-            wait_until(lambda: len(fleet.events("instance seen")) == turn + 2)
+            wait_until(lambda: len(fleet.log_records("instance seen")) == turn + 2)
         assert fleet.request(STREAM_PATH, "bystander", body=SOUND).status == 200
     finally:
         fleet.stop()
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -124,7 +124,7 @@
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    wait_until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.log_records("instance draining")) == 2)
     fleet.fail_next("llm", Fault.PAUSE)
     fleet.fail_next("app", Fault.PAUSE)
     response = fleet.request(prefix, "sp1")
@@ -252,7 +252,7 @@
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    wait_until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.log_records("instance draining")) == 2)
     fleet.call_on_loop(gate.set)
     assert event_ids(connection.getresponse().read()) == [1, 2, 3, 4]
     assert [r.id for r in fleet.engines["d3"].runs] == ["q1"]
@@ -280,7 +280,9 @@
     rows = [route(NON_IDEMPOTENT_PATH, "non_idempotent", "app", timeout_ms=400)]
     fleet.write("op/config", config(4, rows))
     wait_until(
-        lambda: any(r["version"] == 4 for r in fleet.events("configuration in force"))
+        lambda: any(
+            r["version"] == 4 for r in fleet.log_records("configuration in force")
+        )
     )
     for engine in ("a1", "a2"):
         fleet.engines[engine].faults.append(Fault.HANG)
@@ -291,7 +293,7 @@
     """An instance announces that it leaves. From the moment at which the
     daemon knows it, every request goes to the other one."""
     fleet.write("servers/a1", fleet.engines["a1"].store_document("draining"))
-    wait_until(lambda: fleet.events("instance draining"))
+    wait_until(lambda: fleet.log_records("instance draining"))
     for number in range(6):
         assert fleet.request(IDEMPOTENT_PATH, f"x{number}").status == 200
     assert fleet.engines["a1"].runs == []
@@ -340,7 +342,7 @@
         fleet.write(
             f"servers/{engine}", fleet.engines[engine].store_document("draining")
         )
-    wait_until(lambda: len(fleet.events("instance draining")) == 2)
+    wait_until(lambda: len(fleet.log_records("instance draining")) == 2)
     response = fleet.request(RESUMABLE_PATH, "cb1", X_Mulberrydock_Deadline_Ms=deadline)
     assert response.status == 503
     assert float(response.headers["Retry-After"]) == pytest.approx(seconds, abs=0.11)
@@ -391,7 +393,9 @@
     route of the newer version stays in force."""
     fleet.write("op/config", config(9))
     wait_until(
-        lambda: any(r["version"] == 9 for r in fleet.events("configuration in force"))
+        lambda: any(
+            r["version"] == 9 for r in fleet.log_records("configuration in force")
+        )
     )
     fleet.call_on_loop(fleet.store.compact_history)
     rows = [route(IDEMPOTENT_PATH, "idempotent", "llm")]
@@ -399,7 +403,7 @@
     time.sleep(0.5)
     assert fleet.request(IDEMPOTENT_PATH, "z1").text.startswith(b"a")
     assert fleet.request(NON_IDEMPOTENT_PATH, "z2").status == 200
-    versions = [r["version"] for r in fleet.events("configuration in force")]
+    versions = [r["version"] for r in fleet.log_records("configuration in force")]
     assert versions == sorted(versions)
 
 
@@ -409,19 +413,19 @@
     all the while. Back again, instances that return within the grace stay;
     one that is still missing after it is gone."""
     setattr(fleet.store, trouble, True)
-    wait_until(lambda: fleet.events("store lost"))
+    wait_until(lambda: fleet.log_records("store lost"))
     for instance in list(fleet.engines):
         fleet.remove(f"servers/{instance}")
     assert fleet.request(IDEMPOTENT_PATH, "o1").status == 200
     setattr(fleet.store, trouble, False)
-    wait_until(lambda: len(fleet.events("store answers")) > 1)
+    wait_until(lambda: len(fleet.log_records("store answers")) > 1)
     assert fleet.request(IDEMPOTENT_PATH, "o2").status == 200
     for instance in ("d1", "d2", "a1"):
         fleet.write(f"servers/{instance}", fleet.engines[instance].store_document())
     wait_until(
-        lambda: any(r["instance"] == "a2" for r in fleet.events("instance gone"))
+        lambda: any(r["instance"] == "a2" for r in fleet.log_records("instance gone"))
     )
-    assert {r["instance"] for r in fleet.events("instance gone")} == {"a2"}
+    assert {r["instance"] for r in fleet.log_records("instance gone")} == {"a2"}
     assert fleet.request(IDEMPOTENT_PATH, "o3").status == 200
 
 
@@ -433,7 +437,9 @@
     fleet.wait_ready("entry-2")
     key = "entries/entry-2"
     wait_until(lambda: key in fleet.store.items)
-    wait_until(lambda: any(r["peer"] == "entry-2" for r in fleet.events("peer seen")))
+    wait_until(
+        lambda: any(r["peer"] == "entry-2" for r in fleet.log_records("peer seen"))
+    )
 
 
 def test_record_dropped_by_the_store_is_written_again(fleet):
@@ -453,7 +459,7 @@
     fleet.store.refusing = True
     fleet.start()
     try:
-        wait_until(lambda: fleet.events("store lost"))
+        wait_until(lambda: fleet.log_records("store lost"))
         assert not fleet.ready()
         assert fleet.request(IDEMPOTENT_PATH, "n1").status == 503
         fleet.store.refusing = False
@@ -495,7 +501,7 @@
     kept = fleet.connect()
     assert fleet.request(IDEMPOTENT_PATH, "l0", kept).status == 200
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
-    wait_until(lambda: fleet.events("refusing new requests"))
+    wait_until(lambda: fleet.log_records("refusing new requests"))
     response = fleet.request(IDEMPOTENT_PATH, "l1", kept)
     assert response.status == 503
     assert float(response.getheader("Retry-After")) >= 0
@@ -564,7 +570,7 @@
     read. The daemon goes on with the others, says so once, and sends to that
     instance again as soon as its own record is back."""
     fleet.call_on_loop(fleet.store.write_bytes, "servers/a1", raw)
-    wait_until(lambda: fleet.events("instance refused"))
+    wait_until(lambda: fleet.log_records("instance refused"))
     for number in range(4):
         assert fleet.request(NON_IDEMPOTENT_PATH, f"s{number}").status == 200
     assert [len(runs(fleet, f"s{n}")) for n in range(4)] == [1] * 4
@@ -572,8 +578,8 @@
     fleet.write("servers/a1", fleet.engines["a1"].store_document())
     fleet.remove("servers/a2")
     wait_until(lambda: fleet.request(NON_IDEMPOTENT_PATH, "again").status == 200)
-    assert len(fleet.events("instance refused")) == 1
-    assert not fleet.events("task ended")
+    assert len(fleet.log_records("instance refused")) == 1
+    assert not fleet.log_records("task ended")
 
 
 def test_prefill_of_a_former_start_is_never_continued(fleet):
@@ -590,7 +596,7 @@
     wait_until(lambda: engine.prefills)
     # The new start registers while the old one's answer is on its way.
     fleet.write("servers/p1", dict(engine.store_document(), born=2000))
-    wait_until(lambda: fleet.events("instance gone"))
+    wait_until(lambda: fleet.log_records("instance gone"))
     fleet.loop.call_soon_threadsafe(gate.set)
     response = connection.getresponse()
     assert (response.status, event_ids(response.read())) == (200, [1, 2, 3, 4])
@@ -607,7 +613,7 @@
             engine.event_interval_seconds = 0.2
             engine.started_at_ms = 1000
             fleet.write(f"servers/{engine.id}", engine.store_document())
-    wait_until(lambda: len(fleet.events("instance gone")) == 2)
+    wait_until(lambda: len(fleet.log_records("instance gone")) == 2)
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "mid")
     wait_until(lambda: runs(fleet, "mid"))
@@ -631,8 +637,8 @@
         fleet.write(f"servers/{name}", engine.store_document())
         engine.started_at_ms = 2000
     wait_until(
-        lambda: any("d1@1000" in r["instance"] for r in fleet.events("order"))
-        or len(fleet.events("instance gone")) >= 3
+        lambda: any("d1@1000" in r["instance"] for r in fleet.log_records("order"))
+        or len(fleet.log_records("instance gone")) >= 3
     )
     assert not fleet.engines["d1"].orders and not fleet.engines["d2"].orders
     for name in ("d1", "d2"):
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -65,7 +65,7 @@
 
 def in_force(fleet, name, version):
     """True once the daemon has said that a configuration is in force."""
-    events = fleet.events("configuration in force", name)
+    events = fleet.log_records("configuration in force", name)
     return any(event["version"] == version for event in events)
 
 
@@ -81,7 +81,7 @@
     lose(fleet, copied, [("op/config", config(last + 1))])
     for name in fleet.daemons:
         wait_until(lambda: in_force(fleet, name, last + 1))
-        events = fleet.events("configuration in force", name)
+        events = fleet.log_records("configuration in force", name)
         versions = [event["version"] for event in events]
         assert versions == sorted(versions)
 
@@ -109,10 +109,10 @@
     copied = fleet.call_on_loop(fleet.store.snapshot)
     fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
-        wait_until(lambda: fleet.events("instance draining", name))
+        wait_until(lambda: fleet.log_records("instance draining", name))
     lose(fleet, copied)
     for name in fleet.daemons:
-        wait_until(lambda: fleet.events("store restored from an older copy", name))
+        wait_until(lambda: fleet.log_records("store restored from an older copy", name))
     for number in range(6):
         assert fleet.request(RESUMABLE_PATH, f"r{number}").status == 200
     assert not fleet.engines["d1"].runs
