--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -184,7 +184,7 @@
         """Return what the daemon wrote so far."""
         return (self.directory / f"{name}.log").read_text()
 
-    def events(self, event, name="entry-1"):
+    def log_records(self, event, name="entry-1"):
         """Return the daemon's log records of one event."""
         records = []
         for line in self.log(name).splitlines():
