--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -176,7 +176,7 @@
 
     def wait_ready(self, name="entry-1", instances=()):
         """Wait until the daemon is ready and knows ``instances``."""
-        wait_until(lambda: self.ready(name))
+        wait_until(lambda: self.is_ready(name))
         for instance in instances or self.engines:
             wait_until(lambda: f'"instance":"{instance}"' in self.log(name))
 
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -107,7 +107,7 @@
     crash_engines(fleet, prefix)
     time.sleep(CONTACT_SECONDS)
     fleet.start("entry-3")
-    wait_until(lambda: fleet.ready("entry-3"))
+    wait_until(lambda: fleet.is_ready("entry-3"))
     before = arrivals(fleet)
     for turn in range(3):
         for name in (*VMS, "entry-3"):
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -460,11 +460,11 @@
     fleet.start()
     try:
         wait_until(lambda: fleet.log_records("store lost"))
-        assert not fleet.ready()
+        assert not fleet.is_ready()
         assert fleet.request(IDEMPOTENT_PATH, "n1").status == 503
         fleet.store.refusing = False
         fleet.write("op/config", config(1))
-        wait_until(lambda: fleet.ready())
+        wait_until(lambda: fleet.is_ready())
     finally:
         fleet.stop()
 
@@ -483,7 +483,7 @@
     send(connection, RESUMABLE_PATH, "g1")
     wait_until(lambda: runs(fleet, "g1"))
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
-    wait_until(lambda: not fleet.ready())
+    wait_until(lambda: not fleet.is_ready())
     front = fleet.settings["entry-1"]["front"]
     directory = fleet.settings["entry-2"]["directory"]
     wait_until(lambda: str(front).encode() not in fleet.get(directory, "/resolve")[1])
