--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -167,7 +167,7 @@
         log.close()
         return name
 
-    def ready(self, name="entry-1"):
+    def is_ready(self, name="entry-1"):
         """True when the daemon says that it is ready."""
         try:
             return self.get(self.settings[name]["ready"], "/ready")[0] == 200
