--- a/src/mulberrydock/admission.py
+++ b/src/mulberrydock/admission.py
@@ -1,8 +1,7 @@
-"""Whether to take a request now, and whether a retry may be sent.
+"""Decides whether to admit a request now, and whether a retry may be sent.
 
-Both decisions take the present time. A request that can't meet its deadline
-is refused at once with a time to come back, rather than run late in the way
-of others.
+Both decisions take the present time. A request that can't meet its deadline is refused
+at once with a retry time, as it would run late and delay others.
 """
 
 import collections
@@ -10,25 +9,25 @@
 
 import attrs
 
-#: Multiple of the time left that the estimate may fill, by class rank; the
-#: last entry serves every lower class. The estimate is rough, and refusing a
-#: request that would have been in time costs more than running one late, so
-#: rank 0 is refused only when it is hopeless; lower classes go first.
+#: Multiple of the remaining time that the estimate may take, by class rank; the last
+#: entry holds for every lower class. The estimate is rough, and refusing a request that
+#: would have met its deadline costs more than running one late, so rank 0 is refused
+#: only if it clearly can't meet the deadline; lower classes are refused first.
 ADMIT_SHARES = (1.5, 1.0, 0.7)
-#: Bounds in seconds of the time to come back that a refusal names.
+#: Bounds of the retry time that a refusal states, in seconds.
 RETRY_AFTER_MIN_SECONDS = 1
 RETRY_AFTER_MAX_SECONDS = 30
 #: Weight of the newest observation in the estimate's correction.
 CORRECTION_WEIGHT = 0.3
-#: Bounds of the correction, so a few odd answers cannot shut or open the gate.
+#: Bounds of the correction, so that a few outliers can't refuse or admit everything.
 CORRECTION_BOUNDS = (0.5, 3.0)
-#: An estimate below this many seconds says nothing about the correction.
+#: Estimates below this many seconds don't change the correction.
 CORRECTION_FLOOR_SECONDS = 0.05
 
 
 @attrs.define(frozen=True)
 class Decision:
-    """Admit, or refuse with whole seconds after which to come back."""
+    """Admission, or refusal with the whole seconds after which to retry."""
 
     admitted: bool
     retry_after: int = 0
@@ -37,16 +36,16 @@
 class Admission:
     """Deadline-aware admission of language requests at one entry.
 
-    The wait estimate ignores what the engines have cached and that more
-    urgent requests overtake. :attr:`corrections` follows, for each class
-    rank, the ratio of observed to estimated waits.
+    The wait estimate ignores what the engines have cached and that more urgent requests
+    overtake. :attr:`corrections` maps each class rank to an exponentially weighted
+    average of the ratio of observed to estimated waits.
     """
 
     def __init__(self):
         self.corrections = {}
 
     def decide(self, klass, wait_seconds, generate_seconds, left_seconds):
-        """Decide for a request of ``klass``.
+        """Decide about a request of ``klass``.
 
         :param wait_seconds: uncorrected estimate to its first token.
         :param generate_seconds: estimate from the first to the last token.
@@ -62,7 +61,7 @@
         return Decision(False, min(seconds, RETRY_AFTER_MAX_SECONDS))
 
     def observe(self, klass, estimated_seconds, observed_seconds):
-        """Learn from one wait of ``klass`` for a first token."""
+        """Update the correction with one wait of ``klass`` for a first token."""
         if estimated_seconds < CORRECTION_FLOOR_SECONDS:
             return
         low, high = CORRECTION_BOUNDS
@@ -72,11 +71,15 @@
 
 
 class RetryBudget:
-    """Bounds retries to a share of the requests of a sliding window.
+    """Bounds retries to a share of the requests in a sliding window.
 
-    Without it, a failing pool gets several times its load from retries and
-    fails the more. ``floor`` retries are always allowed, so a quiet entry can
-    still move a request off a dead engine.
+    Without it, retries multiply the load of a failing pool, which then fails even more.
+    ``floor`` retries are always allowed, so that an entry with few requests can still
+    move one away from a dead engine.
+
+    :param ratio: retries for each request in the window.
+    :param window_seconds: length of the window.
+    :param floor: retries in the window that are allowed without any request.
     """
 
     def __init__(self, ratio=0.2, window_seconds=10.0, floor=10):
@@ -87,13 +90,13 @@
         self.retries = collections.deque()
 
     def record_request(self, now):
-        """Count a first attempt at ``now``."""
+        """Count the first attempt of a request at ``now``."""
         self.requests.append(now)
-        self._forget(now)
+        self._expire(now)
 
     def allow(self, now, count=1):
-        """True, and counted, when ``count`` more sends may go out at ``now``."""
-        self._forget(now)
+        """Return whether ``count`` retries may be sent at ``now``; count them if so."""
+        self._expire(now)
         bound = self.floor + self.ratio * len(self.requests)
         if len(self.retries) + count > bound:
             return False
@@ -101,10 +104,10 @@
         return True
 
     def spend(self, now, count=1):
-        """Count sends that went out beyond the first of their request."""
+        """Count ``count`` sends beyond the first of their request."""
         self.retries.extend([now] * count)
 
-    def _forget(self, now):
+    def _expire(self, now):
         for times in (self.requests, self.retries):
             while times and times[0] <= now - self.window_seconds:
                 times.popleft()
--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -1,4 +1,4 @@
-"""What this VM and its peers have learnt of the pools of engines."""
+"""What this VM and its peers estimate about the pools of engines."""
 
 import attrs
 from loguru import logger
@@ -7,20 +7,20 @@
 from .prefill_cost import PrefillCost, PrefillCostModel
 from .prefix_cache import PrefixCacheIndex
 
-#: Samples that a VM must have for its fit to be told to its peers.
-TOLD_SAMPLES = 4
-#: Share of the last stream in the average: some forty streams count.
-STREAM_SHARE = 0.05
-#: Part by which an estimate moves before it is logged again.
+#: Number of samples from which a VM reports its fit to its peers.
+MIN_REPORTED_SAMPLES = 4
+#: Weight of the latest stream in the average, which covers some forty streams.
+STREAM_WEIGHT = 0.05
+#: Relative change of an estimate from which it is logged again.
 LOGGED_CHANGE = 0.25
 
 
 @attrs.define
 class PoolEstimates:
-    """Of one service: how fast its engines read, and what is asked of it.
+    """Estimates for one service: prefill cost, demand and duration of streams.
 
-    ``stream_seconds`` is the average time from a stream's first event to its
-    end, None before the first; ``logged_token_seconds`` the speed last logged.
+    ``stream_seconds`` is the average time from a stream's first event to its end, None
+    before the first; ``logged_token_seconds`` is the time a token that was last logged.
     """
 
     cost_model: PrefillCostModel = attrs.field(factory=PrefillCostModel)
@@ -29,15 +29,15 @@
     logged_token_seconds: float = 0.0
 
     def record_stream(self, seconds):
-        """A stream ended whole, ``seconds`` after its first event."""
+        """Record a complete stream that ended ``seconds`` after its first event."""
         if self.stream_seconds is None:
             self.stream_seconds = seconds
-        self.stream_seconds += STREAM_SHARE * (seconds - self.stream_seconds)
+        self.stream_seconds += STREAM_WEIGHT * (seconds - self.stream_seconds)
 
 
 @attrs.define(frozen=True)
 class PoolUpdate:
-    """What one VM tells of one service; ``cost`` is None without samples."""
+    """What one VM reports about a service; ``cost`` is None without enough samples."""
 
     service: str
     demand: Demand
@@ -46,9 +46,9 @@
 
 @attrs.define(frozen=True)
 class PrefillSample:
-    """One prompt that an engine read without a queue before it.
+    """One prompt that an engine prefilled without a queue before it.
 
-    ``tokens`` were read after ``cached`` ones, in ``seconds``.
+    ``tokens`` were prefilled after ``cached`` ones, in ``seconds``.
     """
 
     service: str
@@ -58,9 +58,9 @@
 
 
 class FleetEstimates:
-    """Knowledge by service, and the parts of prompts kept by each engine.
+    """Estimates by service, and the parts of prompts cached at each engine.
 
-    :param capacity: returns the tokens of an engine's memory, by its id.
+    :param capacity: returns the tokens of an engine's memory, by the engine's id.
     """
 
     def __init__(self, capacity):
@@ -74,14 +74,14 @@
         return self.pools.setdefault(service, PoolEstimates())
 
     def record_prefill(self, instance_id, prompt):
-        """An engine read a prompt, or fetched what another one had read."""
+        """Record that an engine prefilled a prompt or fetched its KV cache."""
         self.cache.record_prefill(instance_id, prompt, self.capacity(instance_id))
 
     def record_demand(self, service, prompt, work, short, now):
-        """A client asks for a prompt's completion, whether it is served or not.
+        """Record a request for a prompt's completion, whether it is served or not.
 
-        :param work: that of reading it, in tokens without context.
-        :param short: True when a decode engine could read it as well.
+        :param work: that of the prefill, in tokens without context.
+        :param short: True when a decode engine could prefill the prompt as well.
         """
         demand = Demand(
             work, prompt.tokens, 1.0, short_prefill_work=work if short else 0.0
@@ -89,18 +89,18 @@
         self.pool(service).demand.record(demand, now)
 
     def record_sample(self, sample, now):
-        """An engine read a prompt for this VM; its peers learn from it as well:
-        alone, each of them would see too few to tell an engine's speed."""
+        """Record a :class:`PrefillSample` of this VM, also for its peers: alone, each VM
+        would see too few of them to estimate an engine's speed."""
         self.samples.append(sample)
         self.apply_samples([sample], now)
 
     def take_samples(self):
-        """Return the :class:`PrefillSample` that peers haven't been told yet."""
+        """Return the :class:`PrefillSample` list not yet sent to peers, and clear it."""
         samples, self.samples = self.samples, []
         return samples
 
     def apply_samples(self, samples, now):
-        """Take samples of this VM or of a peer."""
+        """Apply samples of this VM or of a peer."""
         for row in samples:
             pool = self.pool(row.service)
             pool.cost_model.record(row.tokens, row.cached, row.seconds, now)
@@ -120,19 +120,19 @@
         )
 
     def pool_updates(self, now, peers=frozenset()):
-        """Return a :class:`PoolUpdate` of each service.
+        """Return a :class:`PoolUpdate` for each service.
 
         :param peers: names of the peers whose demand is added to this VM's.
         """
         rows = []
         for service, pool in self.pools.items():
-            told = len(pool.cost_model.samples) >= TOLD_SAMPLES
-            cost = pool.cost_model.cost if told else None
+            enough = len(pool.cost_model.samples) >= MIN_REPORTED_SAMPLES
+            cost = pool.cost_model.cost if enough else None
             rows.append(PoolUpdate(service, pool.demand.total(now, peers), cost))
         return rows
 
     def apply_pool_updates(self, peer, rows, now):
-        """Take a peer's :class:`PoolUpdate`."""
+        """Apply the :class:`PoolUpdate` rows of a peer."""
         for row in rows:
             pool = self.pool(row.service)
             pool.demand.apply_update(peer, row.demand, now)
@@ -140,5 +140,5 @@
                 pool.cost_model.apply_update(peer, row.cost)
 
     def apply_prefills(self, instance_id, rows):
-        """Take the parts that an engine read for a peer."""
+        """Apply the (key, tokens) rows of parts that an engine prefilled for a peer."""
         self.cache.apply_update(instance_id, rows, self.capacity(instance_id))
--- a/src/mulberrydock/load_report.py
+++ b/src/mulberrydock/load_report.py
@@ -1,4 +1,4 @@
-"""Tasks of an entry that read the engines' load reports and cache events."""
+"""Polls the engines' load reports and cache events for an entry."""
 
 import asyncio
 import time
@@ -10,15 +10,16 @@
 from .policies import CacheTracking
 from .routing import LoadReport
 
-#: Seconds one read of a report may take.
+#: Timeout of one request for a report.
 READ_TIMEOUT_SECONDS = 1.0
 
 
 def parse_report(document, now):
     """Return the :class:`~mulberrydock.routing.LoadReport` of ``document``.
 
-    :param document: the body of an engine's ``GET /v1/load``; its age places
-        the report on this process's clock.
+    :param document: the body of an engine's ``GET /v1/load``; it states the age of the
+        report, as the clocks of two processes differ.
+    :param now: monotonic seconds.
     """
     return LoadReport(
         taken_at=now - document.get("age_seconds", 0.0),
@@ -32,8 +33,10 @@
 
 
 class LoadPoller:
-    """Reads each engine of a router in turn; an engine that fails to answer
-    keeps its last report until it expires.
+    """Polls every engine of a router; one that doesn't answer keeps its last report
+    until that expires.
+
+    ``last_seq`` maps names of engines to the sequence of their last cache event.
 
     :param router: the :class:`~mulberrydock.routing.Router` of the engines.
     """
@@ -41,7 +44,7 @@
     def __init__(self, router):
         self.router = router
         self.http = tornado.httpclient.AsyncHTTPClient()
-        self.seen = {}
+        self.last_seq = {}
 
     async def _get(self, engine, path):
         try:
@@ -53,30 +56,30 @@
         return document if status == 200 else None
 
     async def read_load(self, engine):
-        """Read one load report into ``engine``."""
+        """Request the load report of ``engine`` and store it there."""
         document = await self._get(engine, "/v1/load")
         if document:
             engine.report = parse_report(document, time.monotonic())
 
     async def read_events(self, engine):
-        """Read the cache events since the last read into the policy."""
-        after = self.seen.get(engine.name, 0)
+        """Pass the cache events since the last poll of ``engine`` to the policy."""
+        after = self.last_seq.get(engine.name, 0)
         document = await self._get(engine, f"/v1/cache_events?after={after}")
         for event in (document or {}).get("events", []):
             self.router.policy.apply(engine.name, event["kind"], event["block"])
-            self.seen[engine.name] = event["seq"]
+            self.last_seq[engine.name] = event["seq"]
 
-    async def _sweep(self, read):
+    async def _poll_all(self, read):
         await asyncio.gather(*[read(e) for e in self.router.upstreams.values()])
 
     async def poll_loads(self):
-        """Read every engine's load report, forever."""
+        """Poll every engine's load report, forever."""
         while True:
-            await self._sweep(self.read_load)
+            await self._poll_all(self.read_load)
             await asyncio.sleep(defaults.LOAD_POLL_SECONDS)
 
     async def poll_events(self):
-        """Read every engine's cache events, forever, if the policy wants them."""
+        """Poll every engine's cache events, forever, if the policy uses them."""
         while isinstance(self.router.policy, CacheTracking):
-            await self._sweep(self.read_events)
+            await self._poll_all(self.read_events)
             await asyncio.sleep(defaults.CACHE_POLL_SECONDS)
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -1,8 +1,8 @@
-"""What the entry VMs together have in flight at each instance.
+"""Tracks what all entry VMs together have in flight at each instance.
 
-Each VM sends its own counts to its peers several times a second; a VM sees
-only an eighth or a ninth of the requests itself, so its own counts alone say
-little about how busy an engine is.
+Needed because a VM sees only an eighth or a ninth of the requests itself, so its own
+counts say little about how busy an engine is. Each VM therefore sends its counts to its
+peers several times a second.
 """
 
 import collections
@@ -10,31 +10,31 @@
 
 import attrs
 
-#: Intervals of a peer's messages after which its counts say nothing about the
-#: present: three lost datagrams in a row are rare.
+#: Report intervals of a peer after which its counts are stale: three datagrams lost in
+#: a row are rare.
 LOAD_EXPIRY_INTERVALS = 4
-#: Intervals without a message after which a peer is taken to be unreachable.
-SILENT_INTERVALS = 6
-#: Seconds between two messages of a peer that doesn't say.
+#: Report intervals without a message after which a peer counts as unreachable.
+UNREACHABLE_INTERVALS = 6
+#: Seconds between two messages of a peer that doesn't state its interval.
 DEFAULT_INTERVAL_SECONDS = 0.2
 
 
-#: Peers whose requests must have failed at an instance for it to be passed over here
-#: as well; one alone may have trouble of its own.
-WITNESSES = 2
-#: Share of the longest prompt that counts as unread when a more urgent one
-#: arrives. Half of it is, on average, if it is being prefilled; but a short
-#: prompt that is kept away from where long ones wait leaves the engine to them.
-STARTED_SHARE = 1.0
+#: Minimum number of peers whose requests failed at an instance for this VM to avoid it
+#: as well; a single peer may have trouble of its own.
+MIN_SUSPECTING_PEERS = 2
+#: Share of the longest prompt that still has to be prefilled when a more urgent one
+#: arrives. If it is being prefilled, that is half of it on average; with the whole of
+#: it, short prompts avoid engines where long ones wait and leave them to these.
+LONGEST_SHARE = 1.0
 
 
 @attrs.define(frozen=True)
 class Load:
     """Unfinished work at an instance.
 
-    ``running`` counts requests; ``prefill`` holds the prompt tokens not yet
-    read, by urgency: at index 0 the most urgent ones, nothing less urgent than
-    its length. ``longest`` are the tokens of the longest of these prompts.
+    ``running`` counts requests; ``prefill`` are the prompt tokens still to be
+    prefilled, by urgency: the most urgent ones at index 0, none less urgent than its
+    length. ``longest`` are the tokens of the longest of these prompts.
     """
 
     running: int = 0
@@ -43,19 +43,19 @@
 
     @property
     def prefill_tokens(self):
-        """All prompt tokens not yet read."""
+        """All prompt tokens still to be prefilled."""
         return sum(self.prefill)
 
-    def ahead(self, urgency):
-        """Return the tokens that are read before a new prompt of ``urgency``.
+    def tokens_ahead(self, urgency):
+        """Return the tokens that are prefilled before a new prompt of ``urgency``.
 
-        Engines read the most urgent prompt first but finish the one that they
-        have begun: a short urgent prompt behind a long one waits for it. Which
-        one that is isn't known here, so the longest counts.
+        Engines prefill the most urgent prompt first but finish one that they have
+        begun, so a short urgent prompt waits for a long one under way. Which prompt
+        that is isn't known here, so the longest one counts.
         """
         later = sum(self.prefill[urgency + 1 :])
-        begun = min(self.longest, later) * STARTED_SHARE
-        return sum(self.prefill[: urgency + 1]) + begun
+        under_way = min(self.longest, later) * LONGEST_SHARE
+        return sum(self.prefill[: urgency + 1]) + under_way
 
 
 def combined(loads):
@@ -70,10 +70,12 @@
 
 @attrs.define(frozen=True)
 class PeerReport:
-    """Loads by instance id as a peer sent them, and when they arrived.
+    """Loads by instance id as a peer sent them.
 
-    ``interval`` is the seconds until its next message, ``suspects`` are the
-    instances that it passes over, as its own requests failed there.
+    ``received_at`` is when they arrived (monotonic seconds), ``interval`` the seconds
+    until the peer's next message. ``leaving`` is True for a VM that is about to leave,
+    ``cordoned`` are the instances that it has cordoned, ``suspects`` those that it avoids
+    because its own requests failed there.
     """
 
     sequence: int
@@ -84,20 +86,20 @@
     interval: float = DEFAULT_INTERVAL_SECONDS
     suspects: frozenset = frozenset()
 
-    def fresh(self, now):
-        """True while the counts say something about the present."""
+    def is_fresh(self, now):
+        """Return whether the counts are recent enough to be used."""
         return now - self.received_at <= LOAD_EXPIRY_INTERVALS * self.interval
 
     def is_reachable(self, now):
-        """True while the peer is taken to be reachable."""
-        return now - self.received_at <= SILENT_INTERVALS * self.interval
+        """Return whether the peer counts as reachable."""
+        return now - self.received_at <= UNREACHABLE_INTERVALS * self.interval
 
 
 @attrs.define(eq=False)
 class InFlightSend:
     """One send counted in a :class:`LoadTracker` until it ends.
 
-    ``tokens`` are those still to be read, 0 once the prompt is prefilled.
+    ``tokens`` are those still to be prefilled, 0 once the prompt is.
     """
 
     tracker: object
@@ -106,130 +108,135 @@
     urgency: int = 0
 
     def mark_prefilled(self):
-        """The prompt is read: only the running request still counts."""
+        """Record that the prompt is prefilled; the running request still counts."""
         self.tokens = 0
 
     def end(self):
-        """The send is over."""
-        self.tracker.drop(self)
+        """Stop counting the send, which has ended."""
+        self.tracker.remove(self)
 
 
-def _load_of(works):
-    """Return the :class:`Load` that this VM's sends to one instance make."""
-    prefill = [0] * (1 + max(work.urgency for work in works))
-    for work in works:
-        prefill[work.urgency] += work.tokens
-    return Load(len(works), tuple(prefill), max(work.tokens for work in works))
+def _load_of(sends):
+    """Return the :class:`Load` of this VM's sends to one instance."""
+    prefill = [0] * (1 + max(send.urgency for send in sends))
+    for send in sends:
+        prefill[send.urgency] += send.tokens
+    return Load(len(sends), tuple(prefill), max(send.tokens for send in sends))
 
 
-def _added(books):
+def _added(loads_by_source):
     """Return the sum of several loads by instance id."""
     by_instance = {}
-    for loads in books:
+    for loads in loads_by_source:
         for instance_id, load in loads.items():
             by_instance.setdefault(instance_id, []).append(load)
     return {i: combined(loads) for i, loads in by_instance.items()}
 
 
 class LoadTracker:
-    """This VM's own loads and those its peers reported.
+    """This VM's own loads and those that its peers reported.
 
-    ``reports`` are those of single peers by their names, ``sums`` those of whole
-    data centres by theirs; a peer is in one of the two only.
+    ``reports`` maps the names of peers to their :class:`PeerReport`, ``sums`` the names
+    of other data centres to the sum of theirs; a peer is in one of the two only.
     """
 
     def __init__(self):
-        self.works = {}
+        self.sends = {}
         self.cordoned_until = {}
         self.reports = {}
         self.sums = {}
         self.sum_sequences = {}
 
     def cordon(self, instance_id, until):
-        """Give an instance under change no new work until then, here and at
-        the peers that hear of it."""
+        """Cordon an instance that changes its stage: until then it gets no new work,
+        neither from this VM nor from the peers that receive its reports.
+
+        :param until: monotonic seconds.
+        """
         self.cordoned_until[instance_id] = until
 
     def own_cordoned(self, now):
-        """Return the instances that this VM holds."""
+        """Return the instances that this VM has cordoned."""
         self.cordoned_until = {i: t for i, t in self.cordoned_until.items() if t > now}
         return set(self.cordoned_until)
 
     def cordoned(self, now):
-        """Return the instances that get no new work, by any VM's word."""
+        """Return the instances that any VM has cordoned."""
         cordoned = self.direct_cordoned(now)
         for report in self._fresh_sums(now):
             cordoned |= report.cordoned
         return cordoned
 
     def direct_cordoned(self, now):
-        """Return the instances held by this VM's word, or that of a peer that
-        tells this VM directly.
+        """Return the instances cordoned by this VM or by a peer that reports to it
+        directly.
 
-        Only these are passed on in a sum: what comes from another one would go
-        round between data centres for ever.
+        Only these are passed on in a sum: those received in another sum would be sent
+        back and forth between data centres for ever.
         """
         cordoned = self.own_cordoned(now)
-        for report in self.fresh(now).values():
+        for report in self.fresh_reports(now).values():
             cordoned |= report.cordoned
         return cordoned
 
     def begin(self, instance_id, tokens, urgency=0):
-        """Count a send in whose prompt has ``tokens`` to read; return its
+        """Count a send whose prompt has ``tokens`` to prefill; return its
         :class:`InFlightSend`."""
-        work = InFlightSend(self, instance_id, tokens, urgency)
-        self.works.setdefault(instance_id, set()).add(work)
-        return work
+        send = InFlightSend(self, instance_id, tokens, urgency)
+        self.sends.setdefault(instance_id, set()).add(send)
+        return send
 
-    def drop(self, work):
-        """Count a send out; a second time changes nothing."""
-        works = self.works.get(work.instance_id, set())
-        works.discard(work)
-        if not works:
-            self.works.pop(work.instance_id, None)
+    def remove(self, send):
+        """Stop counting a send; idempotent."""
+        sends = self.sends.get(send.instance_id, set())
+        sends.discard(send)
+        if not sends:
+            self.sends.pop(send.instance_id, None)
 
     def forget(self, instance_id):
-        """An incarnation is over: its work and its hold with it."""
-        self.works.pop(instance_id, None)
+        """Drop a terminated incarnation with its work and its cordon."""
+        self.sends.pop(instance_id, None)
         self.cordoned_until.pop(instance_id, None)
 
     def own(self):
         """Return this VM's own loads by instance id."""
-        return {i: _load_of(works) for i, works in self.works.items()}
+        return {i: _load_of(sends) for i, sends in self.sends.items()}
 
     def receive(self, peer, report):
-        """Take a peer's report unless a newer one was seen.
+        """Store a peer's report unless a newer one was received.
 
-        A peer that restarted counts from a new, larger sequence, which is
-        drawn from its clock.
+        The sequence of a peer that restarted begins at a larger number, which it takes
+        from its clock.
         """
         known = self.reports.get(peer)
         if known is None or report.sequence > known.sequence:
             self.reports[peer] = report
 
-    def fresh(self, now):
-        """Return the peers' reports that still say something."""
+    def fresh_reports(self, now):
+        """Return the reports of peers that are recent enough to be used, by name."""
         return {
-            peer: report for peer, report in self.reports.items() if report.fresh(now)
+            peer: report
+            for peer, report in self.reports.items()
+            if report.is_fresh(now)
         }
 
     def suspected_by_peers(self, now):
         """Return the instances at which requests of several peers failed.
 
-        The load pattern this answers is a large fleet before engines that crash: if
-        each VM had to find out by itself, each would lose a request or two to each
-        of them, more than its share of the retry budget makes good.
+        Needed in large fleets when engines crash: if each VM had to find out by itself,
+        each would lose a request or two at each of them, more than its share of the
+        retry budget covers.
         """
         counts = collections.Counter()
-        for report in self.fresh(now).values():
+        for report in self.fresh_reports(now).values():
             counts.update(report.suspects)
-        return {name for name, count in counts.items() if count >= WITNESSES}
+        return {name for name, count in counts.items() if count >= MIN_SUSPECTING_PEERS}
 
     def receive_sum(self, data_centre, reporter, report):
-        """Take the sum of a data centre; False when it was seen before.
+        """Store the sum of a data centre; return False if it was received before.
 
-        Several VMs report for each, and each report comes on several ways. All
-        of them see nearly the same, so the one that came last counts.
+        Several VMs report for each data centre, and each report arrives on several
+        paths. Their views are nearly the same, so the last one to arrive counts.
         """
         if self.sum_sequences.get(reporter, 0) >= report.sequence:
             return False
@@ -238,21 +245,21 @@
         return True
 
     def _fresh_sums(self, now):
-        return [report for report in self.sums.values() if report.fresh(now)]
+        return [report for report in self.sums.values() if report.is_fresh(now)]
 
     def report_delay(self, now):
-        """Return the seconds for which peers' sends may not be known.
+        """Return the seconds for which sends of other VMs may not have been reported.
 
-        What a peer sent is heard after its interval at the latest, that of another
-        data centre after both intervals.
+        A send of a direct peer is reported within the peer's interval, one of another
+        data centre within both intervals.
         """
-        direct = (report.interval for report in self.fresh(now).values())
+        direct = (report.interval for report in self.fresh_reports(now).values())
         sums = (report.interval for report in self._fresh_sums(now))
         return max(direct, default=0.0) + max(sums, default=0.0)
 
     def direct_total(self, now):
-        """Return the loads of this VM and of the peers that tell it directly."""
-        reports = self.fresh(now).values()
+        """Return the loads of this VM and of the peers that report to it directly."""
+        reports = self.fresh_reports(now).values()
         return _added([self.own(), *(report.loads for report in reports)])
 
     def total(self, now):
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -1,10 +1,9 @@
-"""Where a request runs: which instance, and where its prompt is prefilled.
+"""Chooses the instance that serves a request and the engine that prefills its prompt.
 
-The load pattern this answers is a mix of long prompts that share documents
-and short ones, on engines that each either prefill fast or decode. A prompt
-goes to the prefill engine that most likely holds its shared parts unless the
-wait there exceeds what the cache saves; a short prompt is prefilled by the
-decode engine itself when that is quicker.
+Prompts differ in length and many share documents, while each engine is set up either
+to prefill or to decode. A prompt is sent to the prefill engine that most likely has its
+shared parts cached, unless the wait there costs more than the cache saves. A decode
+engine prefills a short prompt itself when that is quicker.
 """
 
 import attrs
@@ -14,58 +13,63 @@
 from .prefill_cost import IN_PLACE_SPEED_RATIO
 from .rendezvous import rank
 
-#: Seconds that a hand-over costs beside the prefill and the moved KV cache: two
-#: more hops and the transfer's set-up.
-HANDOVER_SECONDS = 0.01
-#: Weight of a busy engine's time, beside the time that the prompt itself waits:
-#: what one prompt takes of an engine, the others that wait there lose, and the
-#: documents that it pushes out of memory are read again.
-WORK_WEIGHT = 30.0
-#: Utilization of a stage above which its time gets no dearer.
-MOST_UTILIZATION = 1.2
-#: Weight of one running request at a decode engine, in seconds of wait: a
-#: step takes 0.12 ms longer for each, over some 30 steps.
-RUNNING_SECONDS = 0.004
-#: Seconds that each request beyond an engine's places costs: the engine preempts
-#: another one, whose prompt is read again.
-FULL_SECONDS = 0.1
-#: Shares of a request's latency objective; a prompt is one step less urgent for
-#: each of them that its reading alone takes. The last is that of prompts which
-#: can't be in time wherever they go.
-READING_STEPS = (0.25, 0.5, 1.0)
-#: Share of the long prompts that are more urgent instead when they would wait too
-#: long. With all of them the short ones would be late.
-SPARED_SHARE = 0.5
-#: Share of a client's patience beyond which an expected wait is too long: more urgent
-#: prompts that come later are read first and aren't in the estimate.
-SPARED_WAIT_SHARE = 0.5
-#: Least urgent priority that an engine takes.
+#: Seconds that a handoff adds to the prefill and the KV cache transfer: two more
+#: hops and the set-up of the transfer.
+HANDOFF_SECONDS = 0.01
+#: Weight of a busy engine's time relative to the wait of the prompt itself: the time
+#: that one prompt takes delays all others that wait there, and the documents that it
+#: evicts have to be prefilled again.
+ENGINE_TIME_WEIGHT = 30.0
+#: Utilization of a stage above which the weight of its time no longer grows.
+MAX_UTILIZATION = 1.2
+#: Cost of each request that runs at a decode engine, in seconds of wait: it makes a
+#: step 0.12 ms longer, over some 30 steps.
+RUNNING_REQUEST_SECONDS = 0.004
+#: Cost in seconds of each request beyond an engine's slots: the engine preempts
+#: another request, whose prompt has to be prefilled again.
+PREEMPTION_SECONDS = 0.1
+#: Shares of a request's latency objective. A prompt is one step less urgent for each
+#: share that its prefill alone exceeds; beyond the last one, the objective, it is late
+#: wherever it is prefilled.
+URGENCY_STEPS = (0.25, 0.5, 1.0)
+#: Share of the long prompts whose priority is raised instead if they would wait too
+#: long. Boosting all of them would make the short ones late.
+BOOSTED_SHARE = 0.5
+#: Share of the client's idle timeout that the expected wait may take before a prompt
+#: is boosted. More urgent prompts that arrive later are prefilled first and aren't in
+#: the estimate.
+BOOST_WAIT_SHARE = 0.5
+#: Least urgent priority that an engine accepts.
 PRIORITY_MAX = 9
-#: Seconds that a hop to another data centre costs, and bytes are priced.
-FAR_SECONDS = 0.002
-#: Share of the reading that waits at a decode engine by which a stream begins
-#: later there: prompts are read in pieces between the tokens of the streams.
-BESIDE_SHARE = 0.1
-#: Multiple of the time of a transfer that it takes to another data centre.
+#: Seconds that a hop to another data centre adds; its traffic is billed by the byte
+#: as well.
+REMOTE_HOP_SECONDS = 0.002
+#: Share of the prefill work queued at a decode engine by which the first token of a
+#: stream is delayed: prompts are prefilled in chunks between decode steps.
+INTERLEAVED_PREFILL_SHARE = 0.1
+#: Factor by which a KV cache transfer to another data centre takes longer.
 REMOTE_TRANSFER_FACTOR = 2.0
-#: Readings of a document for whose seconds its owner is preferred while no engine is
-#: known to keep it: VMs that get the same document at the same moment, or have just
-#: started and know nothing, then send it to the engine that has it or soon will. A
-#: document that is read in no time is not worth a wait.
-OWNER_READINGS = 5
-#: Seconds that this preference is worth at most.
-OWNER_SECONDS = 0.3
+#: Preference for the owner of a document while no engine is known to have it cached,
+#: in multiples of the time to prefill the document. VMs that get the same document at
+#: the same moment, or that have just started and know no caches, then all choose the
+#: engine that has the document or soon will. A document that takes no time to prefill
+#: isn't worth a wait.
+OWNER_PREFERENCE_PREFILLS = 5
+#: Upper bound of this preference in seconds.
+MAX_OWNER_PREFERENCE_SECONDS = 0.3
 
 
 @attrs.define(frozen=True)
 class Pool:
-    """The engines of one service to choose from, and what is known of them.
-
-    ``loads`` are the :class:`Load` by engine, ``cost`` the time that reading
-    takes, ``cache`` what each engine keeps, ``transfer_seconds_per_token`` the time that the
-    KV cache of a token takes between engines of one data centre, ``busy`` and
-    ``decoders_busy`` the utilization of the two stages, ``streams`` the requests
-    a second. ``report_delay`` are the seconds for which other VMs' sends aren't known.
+    """The engines of one service to choose from, with their estimated state.
+
+    ``loads`` maps engine ids to :class:`Load`, ``cost`` is the
+    :class:`~mulberrydock.prefill_cost.PrefillCost` of the engines, ``cache`` the
+    :class:`~mulberrydock.prefix_cache.PrefixCacheIndex`. ``transfer_seconds_per_token`` is the time to
+    transfer one token's KV cache between engines of a data centre,
+    ``prefill_utilization`` and ``decode_utilization`` are those of the two stages,
+    ``streams`` is the number of requests a second. ``report_delay`` is the number of seconds for
+    which sends of other VMs may not have been reported yet.
     """
 
     prefills: list
@@ -74,8 +78,8 @@
     cost: object
     cache: object
     transfer_seconds_per_token: float = 0.0
-    busy: float = 1.0
-    decoders_busy: float = 1.0
+    prefill_utilization: float = 1.0
+    decode_utilization: float = 1.0
     streams: float = 0.0
     report_delay: float = 0.0
 
@@ -83,251 +87,288 @@
         """Return the :class:`Load` of one engine."""
         return self.loads.get(instance.id, Load())
 
-    def has_place(self, instance):
-        """True when a decode engine has a place for one more stream."""
+    def has_free_slot(self, instance):
+        """Return whether a decode engine has a slot for one more stream."""
         return self.load(instance).running < max(1, instance.record.slots)
 
 
 @attrs.define(frozen=True)
 class Plan:
-    """Where one attempt runs; ``prefill`` is None when done in place.
+    """Where one attempt runs; ``prefill`` is None when ``target`` prefills in place.
 
-    ``tokens`` is the work of reading the prompt, in tokens without context, of
-    which ``cached`` tokens needn't be read; ``wait`` estimates the seconds to
-    the first token, ``reading`` those of them that the prompt itself takes,
-    ``queued`` the work read before it, ``urgency`` the priority at the engine
-    that reads it. ``crowded`` is True when no decode engine has a free place.
+    ``tokens`` is the prefill work, in tokens without context; ``cached`` tokens of the
+    prompt need no prefill. ``wait`` is the estimate of seconds to the first token,
+    ``prefill_seconds`` the part of it that prefilling the prompt takes, ``queued`` the
+    work that is prefilled first. ``urgency`` is the priority at the engine that
+    prefills. ``no_free_slot`` is True when all slots of the decode engines are in use.
     """
 
     target: object
     prefill: object = None
     tokens: int = 0
     wait: float = 0.0
-    reading: float = 0.0
+    prefill_seconds: float = 0.0
     cached: int = 0
     queued: float = 0.0
     urgency: int = 0
-    crowded: bool = False
+    no_free_slot: bool = False
 
 
 @attrs.define(frozen=True)
 class Option:
-    """One engine that may read a prompt; ``cost`` weighs its time as well."""
+    """An engine that could prefill a prompt; fields as in :class:`Plan`.
+
+    ``cost`` is in seconds; beside the wait it includes the weighted time of the engine.
+    """
 
     cost: float
     wait: float
     instance: object
     work: int
-    reading: float
+    prefill_seconds: float
     cached: int
     queued: float
     urgency: int
 
 
 def request_hash_fraction(request_id):
-    """Return a number from 0 to 1 that every VM draws for a request alike."""
+    """Return a number in [0, 1) derived from the request's id, equal on every VM."""
     return int.from_bytes(rank("lot", request_id)) / 2**64
 
 
-def prefill_urgency(reading, route, drawn, load, cost):
-    """Return the priority of a prefill: longer readings are less urgent.
+def prefill_urgency(prefill_seconds, route, fraction, load, cost):
+    """Return the priority of a prefill: the longer it takes, the less urgent it is.
 
-    A long one holds up several short ones that could still be on time. Under a load
-    that exceeds the pool it would never be read, so a part of the long ones goes
-    before the others of its route once its client would leave otherwise.
+    A long prefill delays several short ones that could still meet their objective.
+    Under a load that exceeds the pool, long prompts would never be prefilled, so a
+    share of them gets a priority above the rest of their route if they would otherwise
+    wait until the client times out.
 
-    :param reading: seconds that its engine takes for it.
-    :param drawn: the request's :func:`request_hash_fraction`.
-    :param load: the :class:`Load` of that engine.
-    :param cost: the pool's :class:`PrefillCost`.
+    :param prefill_seconds: time that the engine takes to prefill the prompt.
+    :param fraction: the request's :func:`request_hash_fraction`.
+    :param load: the :class:`Load` of the engine.
+    :param cost: the pool's :class:`~mulberrydock.prefill_cost.PrefillCost`.
     """
     priority = min(PRIORITY_MAX, route.priority)
-    size = sum(reading > step * route.latency_objective for step in READING_STEPS)
+    size = sum(
+        prefill_seconds > step * route.latency_objective for step in URGENCY_STEPS
+    )
     urgency = min(PRIORITY_MAX, priority + size)
-    if urgency == priority or drawn >= SPARED_SHARE:
+    if urgency == priority or fraction >= BOOSTED_SHARE:
         return urgency
-    wait = cost.seconds(load.ahead(urgency)) + reading
-    if wait <= SPARED_WAIT_SHARE * route.client_idle_timeout:
+    wait = cost.seconds(load.tokens_ahead(urgency)) + prefill_seconds
+    if wait <= BOOST_WAIT_SHARE * route.client_idle_timeout:
         return urgency
-    # Among the others of its route it would still lose: they need less time to be read.
+    # At the route's own priority it would still lose to prompts with shorter prefills.
     return max(0, priority - 1)
 
 
-def is_short(reading, objective):
-    """True when a decode engine may read a prompt without harm to its streams.
+def is_short(prefill_seconds, objective):
+    """Return whether a decode engine may prefill a prompt without harm to its streams.
 
-    :param reading: seconds that a prefill engine takes for it.
+    :param prefill_seconds: time that a prefill engine takes for it.
+    :param objective: the route's latency objective in seconds.
     """
-    return reading / IN_PLACE_SPEED_RATIO <= READING_STEPS[0] * objective
+    return prefill_seconds / IN_PLACE_SPEED_RATIO <= URGENCY_STEPS[0] * objective
 
 
 def owner(key, instances):
     """Return the instance that owns ``key`` by rendezvous hashing.
 
-    Every VM finds the same owner with no directory, and a change of the set
-    moves only the keys of the instance that came or went (after "Slotmap
-    mode: directory-free deterministic KV placement", PeerCache).
+    All VMs find the same owner without a directory, and a change of the set moves only
+    the keys of the instance that was added or removed (after "Slotmap mode:
+    directory-free deterministic KV placement", PeerCache).
     """
     return max(instances, key=lambda i: rank(key, i.id))
 
 
 class Placement:
-    """Chooses instances from their loads; ``data_centre`` is this VM's."""
+    """Chooses instances by their loads.
+
+    :param data_centre: the data centre of this VM.
+    """
 
     def __init__(self, data_centre):
         self.data_centre = data_centre
 
-    def _distance(self, instance):
+    def _hop_seconds(self, instance):
         same = instance.record.data_centre == self.data_centre
-        return 0.0 if same else FAR_SECONDS
+        return 0.0 if same else REMOTE_HOP_SECONDS
 
     def least_loaded(self, instances, loads):
-        """Return the plain-service instance with the most room."""
+        """Return the plain-service instance with the lowest share of used slots."""
         return min(
             instances,
             key=lambda i: (
                 loads.get(i.id, Load()).running / max(1, i.record.slots)
-                + self._distance(i),
+                + self._hop_seconds(i),
                 rank(self.data_centre, i.id),
             ),
         )
 
-    def _options(self, prompt, route, drawn, instances, pool, busy, share=1.0):
+    def _options(
+        self, prompt, route, fraction, instances, pool, utilization, speed_ratio=1.0
+    ):
         """Return an :class:`Option` for each instance.
 
-        :param drawn: the request's :func:`request_hash_fraction`.
-        :param busy: utilization of their stage.
-        :param share: speed of these engines against a prefill engine's.
+        :param fraction: the request's :func:`request_hash_fraction`.
+        :param utilization: that of the instances' stage.
+        :param speed_ratio: prefill speed of these engines over a prefill engine's.
         """
-        kept = {i.id: pool.cache.cached_tokens(i.id, prompt) for i in instances}
-        holder = self._document_owner(prompt, kept, instances)
-        weight = WORK_WEIGHT * min(busy, MOST_UTILIZATION) ** 2
+        cached_by_id = {i.id: pool.cache.cached_tokens(i.id, prompt) for i in instances}
+        document_owner = self._document_owner(prompt, cached_by_id, instances)
+        weight = ENGINE_TIME_WEIGHT * min(utilization, MAX_UTILIZATION) ** 2
         rows = []
         for instance in instances:
-            cached = kept[instance.id]
+            cached = cached_by_id[instance.id]
             work = pool.cost.work(prompt.tokens - cached, cached)
-            reading = pool.cost.seconds(work) / share
+            prefill_seconds = pool.cost.seconds(work) / speed_ratio
             load = pool.load(instance)
             urgency = min(PRIORITY_MAX, route.priority)
-            if share == 1.0:
-                urgency = prefill_urgency(reading, route, drawn, load, pool.cost)
-            ahead = load.ahead(urgency)
-            queue = pool.cost.seconds(ahead) / share
-            wait = pool.cost.overhead + queue + reading + self._distance(instance)
-            cost = wait - queue + weight * reading
-            if instance is holder:
-                cost -= self._owner_seconds(prompt, pool)
-            option = Option(cost, wait, instance, work, reading, cached, ahead, urgency)
+            if speed_ratio == 1.0:
+                urgency = prefill_urgency(
+                    prefill_seconds, route, fraction, load, pool.cost
+                )
+            ahead = load.tokens_ahead(urgency)
+            queue = pool.cost.seconds(ahead) / speed_ratio
+            wait = (
+                pool.cost.overhead
+                + queue
+                + prefill_seconds
+                + self._hop_seconds(instance)
+            )
+            cost = wait - queue + weight * prefill_seconds
+            if instance is document_owner:
+                cost -= self._owner_preference(prompt, pool)
+            option = Option(
+                cost, wait, instance, work, prefill_seconds, cached, ahead, urgency
+            )
             rows.append((queue, option))
-        unseen = busy * pool.report_delay * len(instances)
-        level = fill_level([queue for queue, _ in rows], unseen)
+        unreported = utilization * pool.report_delay * len(instances)
+        level = fill_level([queue for queue, _ in rows], unreported)
         return [
             attrs.evolve(option, cost=option.cost + max(queue, level))
             for queue, option in rows
         ]
 
-    def _owner_seconds(self, prompt, pool):
+    def _owner_preference(self, prompt, pool):
         """Return the seconds by which the owner of a document is preferred."""
         shared = sum(part.tokens for part in prompt.shared_parts)
-        reading = pool.cost.seconds(pool.cost.work(shared, 0))
-        return min(OWNER_SECONDS, OWNER_READINGS * reading)
+        prefill_seconds = pool.cost.seconds(pool.cost.work(shared, 0))
+        return min(
+            MAX_OWNER_PREFERENCE_SECONDS, OWNER_PREFERENCE_PREFILLS * prefill_seconds
+        )
 
-    def _document_owner(self, prompt, kept, instances):
-        """Return the engine that reads the prompt's document for the fleet, None
-        when one is known to keep it.
+    def _document_owner(self, prompt, cached_by_id, instances):
+        """Return the engine that should prefill the prompt's document for the fleet,
+        None when an engine is known to have it cached.
 
-        :param kept: tokens of the prompt that each engine keeps, by its id. The
-            rules before a document are kept by many; that says nothing of it.
+        :param cached_by_id: tokens of the prompt that each engine has cached. The
+            rules that precede a document are cached by many engines, which says
+            nothing about the document.
         """
         if not prompt.shared_parts or not instances:
             return None
         shared = sum(part.tokens for part in prompt.shared_parts)
-        if any(tokens >= shared for tokens in kept.values()):
+        if any(tokens >= shared for tokens in cached_by_id.values()):
             return None
         return owner(prompt.shared_parts[-1].id, instances)
 
     def _running_seconds(self, instance, pool):
-        """Return by how much the requests on a decode engine hold up another."""
+        """Return the seconds by which a decode engine's requests delay another one."""
         running = pool.load(instance).running
-        full = max(0, running + 1 - max(1, instance.record.slots))
-        return running * RUNNING_SECONDS + full * FULL_SECONDS
+        excess = max(0, running + 1 - max(1, instance.record.slots))
+        return running * RUNNING_REQUEST_SECONDS + excess * PREEMPTION_SECONDS
 
     def _running_level(self, pool):
-        """Return the :func:`fill_level` of what runs on the decode engines."""
-        unseen = pool.streams * pool.report_delay * RUNNING_SECONDS
+        """Return the :func:`fill_level` of the requests at the decode engines."""
+        unreported = pool.streams * pool.report_delay * RUNNING_REQUEST_SECONDS
         seconds = [self._running_seconds(i, pool) for i in pool.decoders]
-        return fill_level(seconds, unseen)
+        return fill_level(seconds, unreported)
 
-    def _decode_seconds(self, instance, pool, moved=0, source=None, level=0.0):
-        """Return the seconds from the hand-over to the first token.
+    def _decode_seconds(
+        self, instance, pool, transferred_tokens=0, source=None, level=0.0
+    ):
+        """Return the seconds from the handoff to the first token.
 
-        :param moved: tokens whose KV cache comes from ``source``.
+        :param transferred_tokens: tokens whose KV cache comes from ``source``.
         :param level: seconds up to which other VMs fill the decode engines.
         """
         load = pool.load(instance)
-        move = moved * pool.transfer_seconds_per_token
+        transfer = transferred_tokens * pool.transfer_seconds_per_token
         if source is not None:
             if source.record.data_centre != instance.record.data_centre:
-                move *= REMOTE_TRANSFER_FACTOR
+                transfer *= REMOTE_TRANSFER_FACTOR
         in_place = pool.cost.seconds(load.prefill_tokens) / IN_PLACE_SPEED_RATIO
         running = max(level, self._running_seconds(instance, pool))
-        return running + in_place * BESIDE_SHARE + move + self._distance(instance)
+        return (
+            running
+            + in_place * INTERLEAVED_PREFILL_SHARE
+            + transfer
+            + self._hop_seconds(instance)
+        )
 
-    def plan(self, prompt, route, pool, drawn=1.0):
-        """Return a :class:`Plan` for a prompt, or None without a decode engine.
+    def plan(self, prompt, route, pool, fraction=1.0):
+        """Return a :class:`Plan` for a prompt, None without a decode engine.
 
-        :param drawn: the request's :func:`request_hash_fraction`.
+        :param fraction: the request's :func:`request_hash_fraction`.
         :param pool: the :class:`Pool` to choose from.
         """
         if not pool.decoders:
             return None
-        plan = self._cheaper(prompt, route, pool, drawn)
-        return attrs.evolve(plan, crowded=not any(map(pool.has_place, pool.decoders)))
+        plan = self._cheaper(prompt, route, pool, fraction)
+        return attrs.evolve(
+            plan, no_free_slot=not any(map(pool.has_free_slot, pool.decoders))
+        )
 
-    def _cheaper(self, prompt, route, pool, drawn):
-        """Return the :class:`Plan` that costs less: in place, or handed over."""
-        in_place_cost, in_place = self._in_place(prompt, route, drawn, pool)
+    def _cheaper(self, prompt, route, pool, fraction):
+        """Return the :class:`Plan` of lower cost: in place, or with a handoff."""
+        in_place_cost, in_place = self._in_place(prompt, route, fraction, pool)
         if not pool.prefills:
             return in_place
-        cost, handed_over = self._handed_over(prompt, route, drawn, pool)
+        cost, handoff = self._handoff(prompt, route, fraction, pool)
         short = is_short(
-            in_place.reading * IN_PLACE_SPEED_RATIO, route.latency_objective
+            in_place.prefill_seconds * IN_PLACE_SPEED_RATIO, route.latency_objective
         )
-        return in_place if short and in_place_cost < cost else handed_over
+        return in_place if short and in_place_cost < cost else handoff
 
-    def _in_place(self, prompt, route, drawn, pool):
-        """Return (cost, :class:`Plan`) of reading by a decode engine."""
+    def _in_place(self, prompt, route, fraction, pool):
+        """Return (cost, :class:`Plan`) of the prefill by a decode engine."""
         options = self._options(
             prompt,
             route,
             1.0,
             pool.decoders,
             pool,
-            pool.decoders_busy,
+            pool.decode_utilization,
             IN_PLACE_SPEED_RATIO,
         )
         level = self._running_level(pool)
         rows = []
         for option in options:
             running = max(level, self._running_seconds(option.instance, pool))
-            place = rank(drawn, option.instance.id)
-            rows.append((option.cost + running, place, option, running))
+            order = rank(fraction, option.instance.id)
+            rows.append((option.cost + running, order, option, running))
         cost, _, best, running = min(rows, key=lambda row: row[:2])
         wait = best.wait + running
-        plan = Plan(best.instance, None, best.work, wait, best.reading)
-        return cost, self._detailed(plan, best)
-
-    def _handed_over(self, prompt, route, drawn, pool):
-        """Return (cost, :class:`Plan`) of reading by a prefill engine."""
-        options = self._options(prompt, route, drawn, pool.prefills, pool, pool.busy)
-        best = min(options, key=lambda o: (o.cost, rank(drawn, o.instance.id)))
-        target = self.choose_decoder(pool, prompt.tokens, best.instance, drawn)
+        plan = Plan(best.instance, None, best.work, wait, best.prefill_seconds)
+        return cost, self._with_details(plan, best)
+
+    def _handoff(self, prompt, route, fraction, pool):
+        """Return (cost, :class:`Plan`) of the prefill by a prefill engine."""
+        options = self._options(
+            prompt, route, fraction, pool.prefills, pool, pool.prefill_utilization
+        )
+        best = min(options, key=lambda o: (o.cost, rank(fraction, o.instance.id)))
+        target = self.choose_decoder(pool, prompt.tokens, best.instance, fraction)
         after = self._decode_seconds(target, pool, prompt.tokens, best.instance)
-        after += HANDOVER_SECONDS
-        plan = Plan(target, best.instance, best.work, best.wait + after, best.reading)
-        return best.cost + after, self._detailed(plan, best)
+        after += HANDOFF_SECONDS
+        plan = Plan(
+            target, best.instance, best.work, best.wait + after, best.prefill_seconds
+        )
+        return best.cost + after, self._with_details(plan, best)
 
-    def _detailed(self, plan, option):
+    def _with_details(self, plan, option):
         return attrs.evolve(
             plan,
             cached=option.cached,
@@ -335,17 +376,19 @@
             urgency=option.urgency,
         )
 
-    def choose_decoder(self, pool, moved, source, drawn=1.0):
-        """Return the best engine to decode, None without one.
+    def choose_decoder(self, pool, transferred_tokens, source, fraction=1.0):
+        """Return the decode engine with the earliest first token, None without one.
 
-        :param moved: tokens whose KV cache comes from ``source``.
-        :param drawn: the request's :func:`request_hash_fraction`, which decides between equals: each
-            request finds another order of them.
+        :param transferred_tokens: tokens whose KV cache comes from ``source``.
+        :param fraction: the request's :func:`request_hash_fraction`. It breaks ties, in another order
+            for each request.
         """
         level = self._running_level(pool)
 
         def key(instance):
-            seconds = self._decode_seconds(instance, pool, moved, source, level)
-            return seconds, rank(drawn, instance.id)
+            seconds = self._decode_seconds(
+                instance, pool, transferred_tokens, source, level
+            )
+            return seconds, rank(fraction, instance.id)
 
         return min(pool.decoders, key=key, default=None)
--- a/src/mulberrydock/planner.py
+++ b/src/mulberrydock/planner.py
@@ -1,9 +1,9 @@
-"""Which engines prefill and which generate, as the mix of the load shifts.
+"""Decides which engines prefill and which generate, as the mix of the load shifts.
 
-A long prompt prefilled among other requests delays their tokens. An engine
-set to prefill takes that work away, but a role change takes the engine away
-for seconds, and a fixed split wastes engines when the mix shifts back. The
-plan weighs the two with the weights of the settings.
+The prefill of a long prompt delays the tokens of other requests at its engine. Engines
+with the prefill role avoid that, but a role change makes an engine unavailable for
+seconds, and a fixed split wastes engines when the mix shifts back. The plan compares
+the two by the weights of the settings.
 """
 
 import abc
@@ -13,23 +13,23 @@
 
 from . import defaults
 
-#: Seconds over which demand is averaged.
+#: Time constant of the average of demand, in seconds.
 DEMAND_SECONDS = 4.0
-#: Share of an engine's capacity that a plan may fill.
+#: Share of an engine's capacity that a plan may use.
 UTILISATION_LIMIT = 0.8
-#: Share of tokens that may be delayed by a prefill before roles are worth it:
-#: the users' latency is asked for 95 in 100.
+#: Share of tokens that a prefill may delay before roles pay off: the latency objective
+#: covers 95 in 100 tokens.
 TOLERATED_DELAYED_SHARE = 0.05
-#: Seconds over which a role change must pay for itself.
+#: Seconds within which the gain of a role change must exceed its cost.
 PAYBACK_SECONDS = 60.0
-#: Seconds over which a peak of generation is remembered, so that prefill
-#: engines are not taken from a pool that needed them for answers just before.
+#: Time constant in seconds by which a peak of generation decays, so that a pool that
+#: just needed its engines for answers doesn't turn them into prefill engines.
 PEAK_SECONDS = 120.0
 
 
 @attrs.define(frozen=True)
 class Demand:
-    """Work offered, in engines: what prefill and generation would each fill."""
+    """Offered work of prefill and of generation, in numbers of busy engines."""
 
     prefill: float = 0.0
     decode: float = 0.0
@@ -45,10 +45,11 @@
         self.measured_at = None
 
     def observe(self, views, settings, now):
-        """Take every engine's counts at ``now``; return the :class:`Demand`.
+        """Update the averages with every engine's counts; return the :class:`Demand`.
 
         :param views: :class:`~mulberrydock.rollout.EngineView` list.
         :param settings: engine settings by name, for the engines' rates.
+        :param now: monotonic seconds.
         """
         prefill, decode = 0.0, 0.0
         for view in views:
@@ -75,7 +76,8 @@
 
 
 def decode_capacity(engine):
-    """Tokens a second that ``engine`` (settings) generates with a full batch."""
+    """Return the tokens a second that ``engine`` (settings) generates with a full
+    batch."""
     rate = engine.decode_tokens_per_second / (1 + defaults.FULL_BATCH_SLOWDOWN)
     return engine.batch_size * rate
 
@@ -89,19 +91,19 @@
 
 
 class StaticRoles(RolePlanner):
-    """Every engine prefills and generates: no role change, ever."""
+    """Lets every engine prefill and generate, without role changes."""
 
     def plan(self, views, demand, now):
         return {view.name: "both" for view in views}
 
 
 class MixRoles(RolePlanner):
-    """As many prefill engines as the mix asks for, changed reluctantly.
+    """Plans as many prefill engines as the mix asks for, with few role changes.
 
-    :param goodput_weight: worth of one share of tokens kept on time, a second.
-    :param change_weight: cost of one role change, in the same unit.
+    :param goodput_weight: value of one second with all tokens on time.
+    :param change_weight: cost of one role change, in the unit of this value.
     :param settle_seconds: how long a better plan must stay better.
-    :param interval_seconds: least time between two changes of plan.
+    :param interval_seconds: minimum time between two changes of plan.
     """
 
     def __init__(self, goodput_weight, change_weight, settle_seconds, interval_seconds):
@@ -117,14 +119,14 @@
         self.planned_at = None
 
     def plan(self, views, demand, now):
-        # An engine not seen before, or by a new controller, goes on as it is;
-        # one that can't be read now keeps its planned role.
+        # An engine that this controller hasn't seen before keeps its role; one that
+        # can't be read now keeps its planned role.
         for view in views:
             self.roles.setdefault(view.name, view.role or "both")
         roles = {v.name: self.roles[v.name] for v in views}
         current = sum(role == "prefill" for role in roles.values())
-        cautious = Demand(demand.prefill, self._peak(demand.decode, now))
-        wanted = self.prefill_engines(cautious, len(views), current)
+        peak = Demand(demand.prefill, self._peak(demand.decode, now))
+        wanted = self.prefill_engines(peak, len(views), current)
         if wanted == current:
             self.better = None
         elif wanted != self.better:
@@ -150,20 +152,20 @@
         )
 
     def prefill_engines(self, demand, engines, current):
-        """How many of ``engines`` should prefill, given ``current`` do now."""
+        """Return how many of ``engines`` should prefill if ``current`` do now."""
 
         def value(count):
-            worth = delayed_share(demand, engines, 0)
-            worth -= delayed_share(demand, engines, count)
+            on_time = delayed_share(demand, engines, 0)
+            on_time -= delayed_share(demand, engines, count)
             changes = abs(count - current)
-            gain = worth * self.goodput_weight * PAYBACK_SECONDS
+            gain = on_time * self.goodput_weight * PAYBACK_SECONDS
             return gain - changes * self.change_weight, -changes
 
         return max(range(engines), key=value, default=0)
 
     def _assign(self, views, wanted):
         def order(view):
-            # Keep engines that prefill already; then take the idlest.
+            # Engines that prefill already come first, then the idlest ones.
             return (self.roles[view.name] != "prefill", view.running, view.name)
 
         for index, view in enumerate(sorted(views, key=order)):
@@ -171,17 +173,20 @@
 
 
 def delayed_share(demand, engines, prefilling):
-    """Share of tokens, 0 to 1, late with ``prefilling`` of ``engines`` prefilling.
+    """Return the share of late tokens, 0 to 1.
 
-    Without prefill engines, a token is delayed when its engine prefills; the
-    tolerated share costs nothing. With them, only work beyond the capacity
-    of either group is late.
+    Without prefill engines, a token is delayed when its engine prefills; the tolerated
+    share isn't counted. With them, only the work beyond the capacity of either group is
+    late.
+
+    :param engines: number of engines.
+    :param prefilling: how many of them are prefill engines.
     """
     if prefilling == 0:
         stalled = max(0.0, demand.prefill / engines - TOLERATED_DELAYED_SHARE)
         excess = demand.prefill + demand.decode - engines * UTILISATION_LIMIT
         return min(1.0, stalled + max(0.0, excess) / engines)
-    room = UTILISATION_LIMIT
-    excess = max(0.0, demand.prefill - prefilling * room)
-    excess += max(0.0, demand.decode - (engines - prefilling) * room)
+    limit = UTILISATION_LIMIT
+    excess = max(0.0, demand.prefill - prefilling * limit)
+    excess += max(0.0, demand.decode - (engines - prefilling) * limit)
     return min(1.0, excess)
--- a/src/mulberrydock/policies.py
+++ b/src/mulberrydock/policies.py
@@ -1,7 +1,7 @@
-"""Policies: how an entry picks an engine or instance for a request.
+"""Policies by which an entry picks an engine or instance for a request.
 
-Each takes the present time and the upstreams that may take the request; see
-``docs/design/routing.md`` for the measurement that speaks for the default.
+Each takes the present time and the upstreams that may take the request. See
+``docs/design/routing.md`` for a comparison and the reason for the default.
 """
 
 import abc
@@ -13,36 +13,37 @@
 
 from . import defaults
 
-#: Upstreams picked at random, of which the one with the shorter wait is taken.
+#: Upstreams picked at random, of which the one with the shortest wait is chosen.
 CHOICES = 2
-#: Engines that own a prefix on the ring.
+#: Number of engines that own a prefix on the ring.
 RING_WAYS = 2
-#: Rings kept, one for each set of candidates; a set changes when one fails.
-RINGS_KEPT = 16
-#: Share of a prompt that its owner is expected to hold in its cache.
+#: Maximum number of cached rings, one for each set of candidates; the set changes when
+#: an upstream fails.
+MAX_RINGS = 16
+#: Share of a prompt that its owner is expected to have cached.
 EXPECTED_CACHED_SHARE = 0.5
 
 
-@functools.lru_cache(maxsize=RINGS_KEPT)
+@functools.lru_cache(maxsize=MAX_RINGS)
 def _ring(names):
     return uhashring.HashRing(nodes=list(names))
 
 
 class Policy(abc.ABC):
-    """How to pick among eligible upstreams."""
+    """Picks among eligible upstreams."""
 
-    #: True for a policy that reads :attr:`Work.blocks`.
+    #: True for a policy that uses :attr:`Work.blocks`.
     needs_blocks = False
-    #: Entry daemons that share the upstreams, kept current by the entry.
+    #: Number of entry daemons that share the upstreams; the entry updates it.
     entries = 1
 
     @abc.abstractmethod
     def pick(self, candidates, work, now):
-        """Return one of ``candidates`` (non-empty) for ``work``."""
+        """Return one of ``candidates``, which are not empty, for ``work``."""
 
 
 class RoundRobin(Policy):
-    """Each in turn, blind to load: the baseline."""
+    """Picks each upstream in turn, regardless of load; the baseline."""
 
     def __init__(self):
         self.turn = 0
@@ -53,18 +54,18 @@
 
 
 class FewestInFlight(Policy):
-    """Fewest requests in flight from this entry; ties by name."""
+    """Picks the upstream with the fewest requests of this entry; ties go by name."""
 
     def pick(self, candidates, work, now):
         return min(candidates, key=lambda u: (u.in_flight, u.name))
 
 
 class LeastWait(Policy):
-    """The shorter wait of two upstreams picked at random.
+    """Picks the shorter wait of two random upstreams.
 
-    Load reports lag, and every entry reads the same ones: with the shortest
-    wait of all, the entries would all pick the same engine until the next
-    report, and overload it. Two random choices spread them.
+    Load reports lag, and all entries get the same ones. If they picked the shortest
+    wait of all upstreams, they would all choose the same engine until the next report
+    and overload it. Two random choices spread them.
     """
 
     def __init__(self, seed=None):
@@ -72,7 +73,7 @@
 
     @staticmethod
     def best(candidates, work, now, entries):
-        """The candidate with the shortest wait, None when there is none."""
+        """Return the candidate with the shortest wait, None when there is none."""
         return min(
             candidates,
             key=lambda u: (u.wait_seconds(work, now, entries), u.in_flight),
@@ -85,13 +86,12 @@
 
 
 class RingPlacement(LeastWait):
-    """A prompt's prefix belongs to engines found by hash alone.
+    """Assigns each prompt prefix to owners on a consistent-hash ring.
 
-    The owners are found on a consistent-hash ring from the routing key, with
-    no directory of what each engine has cached (after "Slotmap mode:
-    directory-free deterministic KV placement", PeerCache). An owner is passed
-    over when its wait exceeds another's by more than a cached prefix would
-    save, so a popular prefix cannot overload its owners.
+    The owners follow from the routing key, without a directory of what each engine has
+    cached (after "Slotmap mode: directory-free deterministic KV placement", PeerCache).
+    An owner is passed over when its wait exceeds another upstream's by more than a
+    cached prefix would save, so that a popular prefix can't overload its owners.
     """
 
     def __init__(self, ways=RING_WAYS, seed=None):
@@ -119,30 +119,31 @@
 
 
 class CacheTracking(Policy):
-    """Follows the engines' cache events; prefers the longest cached prefix.
+    """Tracks the engines' cache events and prefers the longest cached prefix.
 
-    The events come late and with gaps, so :attr:`held` (engine name to block
-    hashes) is a guess: a wrong one costs time, never a wrong answer.
+    The events are delayed and incomplete, so :attr:`blocks` (engine name to block
+    hashes) is an estimate: an error costs time but never changes an answer.
     """
 
     needs_blocks = True
 
     def __init__(self):
-        self.held = collections.defaultdict(set)
+        self.blocks = collections.defaultdict(set)
 
     def apply(self, engine, kind, block):
-        """Take one cache event of ``engine``: ``stored`` or ``removed``."""
+        """Apply one cache event of ``engine``: ``stored`` or ``removed``."""
         if kind == "stored":
-            self.held[engine].add(block)
+            self.blocks[engine].add(block)
         else:
-            self.held[engine].discard(block)
+            self.blocks[engine].discard(block)
 
     def cached_tokens(self, engine, work):
-        """Leading prompt tokens of ``work`` that ``engine`` seems to hold."""
-        held = self.held[engine]
+        """Return the leading prompt tokens of ``work`` that ``engine`` likely has
+        cached."""
+        cached = self.blocks[engine]
         count = 0
         for block in work.blocks:
-            if block not in held:
+            if block not in cached:
                 break
             count += 1
         return count * defaults.CACHE_BLOCK_TOKENS
@@ -158,7 +159,7 @@
         return min(candidates, key=cost)
 
 
-#: Policies by the names the settings take.
+#: Policies by their names in the settings.
 POLICIES = {
     "round-robin": RoundRobin,
     "fewest-in-flight": FewestInFlight,
--- a/src/mulberrydock/prefix.py
+++ b/src/mulberrydock/prefix.py
@@ -1,8 +1,7 @@
-"""Prompt tokens and the chained hashes of their prefix blocks.
+"""Splits prompts into tokens and hashes their prefix blocks.
 
-Engines cache prompts by blocks of ``defaults.CACHE_BLOCK_TOKENS`` tokens and
-publish cache events by block hash, so the router and the engine must hash
-alike.
+Engines cache prompts by blocks of ``defaults.CACHE_BLOCK_TOKENS`` tokens and publish
+cache events by block hash, so the router and the engines must use the same hashes.
 """
 
 import hashlib
@@ -23,7 +22,10 @@
 
 
 def block_hashes(tokens, block=defaults.CACHE_BLOCK_TOKENS):
-    """Return the chained hash of each whole ``block`` of ``tokens``, in order."""
+    """Return the chained hash of each complete block of ``tokens``, in order.
+
+    :param block: tokens of a block.
+    """
     hashes = []
     digest = hashlib.blake2b(digest_size=8)
     for start in range(0, len(tokens) - block + 1, block):
@@ -33,6 +35,7 @@
 
 
 def routing_key(tokens):
-    """Hash of the first :data:`KEY_BLOCKS` blocks; empty for a shorter prompt."""
+    """Return the hash of the first :data:`KEY_BLOCKS` blocks, empty for a shorter
+    prompt."""
     hashes = block_hashes(tokens[: KEY_BLOCKS * defaults.CACHE_BLOCK_TOKENS])
     return hashes[-1] if len(hashes) == KEY_BLOCKS else ""
--- a/src/mulberrydock/rate_limits.py
+++ b/src/mulberrydock/rate_limits.py
@@ -1,11 +1,11 @@
 """Rate limits that instances declare in their answers, kept by all VMs together.
 
-The load pattern this answers is an overloaded instance before a fleet of any size.
-Its limit holds for all VMs together and counts every call. An equal share for each VM
-fails in both directions: a hundred VMs with one call each exceed it, and eight shares
-lie idle where no requests come. So a few VMs send to the instance, no more than the
-calls that it takes in a second, and all others pass it over. Which ones follows by
-rendezvous hashing from the instance's id and the names of the VMs, without a message.
+Needed when an instance is overloaded: its limit holds for all VMs together and counts
+every call. An equal share for each VM fails both ways: a hundred VMs with one call each
+exceed the limit, and with eight shares those of VMs without requests are unused. So a
+few VMs send to the instance, no more than the calls that it accepts a second, and all
+others avoid it. Which ones follows by rendezvous hashing from the instance's id and the
+names of the VMs, without a message.
 """
 
 import math
@@ -15,32 +15,32 @@
 
 from .rendezvous import rank
 
-#: Lowest rate in requests a second: with none at all no answer would show that the
-#: limit is over.
-LEAST_RATE = 0.1
-#: Answers in a row without a limit after which it is over: one may have been begun
-#: before the limit was declared.
+#: Lowest rate in requests a second: with none at all, no answer would show that the
+#: limit has ended.
+MIN_RATE = 0.1
+#: Answers in a row without a limit after which it has ended: the instance may have
+#: begun one of them before it declared the limit.
 CLEAR_ANSWERS = 2
 #: Seconds for which a VM waits once it finds itself among the senders: another VM may
-#: not have noticed yet that it is none any more.
+#: not have noticed yet that it no longer is one.
 TAKEOVER_SECONDS = 1.0
-#: Seconds between two looks at the members of the fleet.
-MEMBERS_SECONDS = 0.5
-#: Seconds for which a change is told in every message: datagrams get lost.
-NEWS_SECONDS = 1.5
-#: Seconds by which an observation must be later to replace another VM's: what a
-#: message took isn't known.
-HEARD_MARGIN_SECONDS = 0.1
-#: Relative change of a rate that is news.
-NEWS_CHANGE = 0.05
+#: Seconds between two checks of the members of the fleet.
+MEMBERS_INTERVAL_SECONDS = 0.5
+#: Seconds for which a change is repeated in every message, as datagrams get lost.
+UPDATE_REPEAT_SECONDS = 1.5
+#: Seconds by which an observation must be later than that of another VM to replace it:
+#: the delay of a message isn't known.
+OBSERVATION_MARGIN_SECONDS = 0.1
+#: Relative change of a rate that counts as a change.
+RATE_CHANGE_THRESHOLD = 0.05
 
 
 @attrs.define
 class RateLimit:
     """The limit that an instance was last seen to declare.
 
-    ``rate`` is in requests a second, None when it has none any more; ``observed_at``
-    is when an answer showed it and ``changed_at`` when this VM learned the rate, both
+    ``rate`` is in requests a second, None when the limit has ended; ``observed_at`` is
+    when an answer showed it and ``changed_at`` when this VM learned the rate, both in
     monotonic seconds. ``clear_answers`` counts answers without a limit since then.
     """
 
@@ -53,9 +53,9 @@
 
 @attrs.define
 class TokenBucket:
-    """Grants calls at ``rate`` a second, one at a time.
+    """Grants calls at ``rate`` a second, with a burst of one.
 
-    ``tokens`` are those left at ``updated_at``, monotonic seconds.
+    ``tokens`` are those left at ``updated_at``, in monotonic seconds.
     """
 
     rate: float
@@ -63,13 +63,13 @@
     updated_at: float
 
     def refill(self, now):
-        """Add what has come in since the last look."""
+        """Add the tokens of the time since the last refill."""
         added = max(0.0, now - self.updated_at) * self.rate
         self.tokens = min(1.0, self.tokens + added)
         self.updated_at = now
 
     def ready(self, now):
-        """True when a call may be made."""
+        """Return whether a call may be made."""
         self.refill(now)
         return self.tokens >= 1.0
 
@@ -90,7 +90,7 @@
 def senders(instance, rate, members):
     """Return the names of the VMs that may send to an instance.
 
-    :param rate: requests a second that it takes.
+    :param rate: requests a second that it accepts.
     :param members: names of all VMs.
     """
     count = max(1, min(len(members), int(rate)))
@@ -101,10 +101,10 @@
     """The limits of instances, by id, and this VM's shares of them.
 
     :param name: this VM's name.
-    :param members: returns the names of the VMs that may send, at a moment, this one's
-        among them unless it leaves; None when there is no other VM.
-    :param is_known: whether an instance isn't gone. VMs that learn of its end at
-        different moments would else tell each other its limit for ever.
+    :param members: returns the names of the VMs that may send at a given time, this one
+        included unless it is leaving; None when there is no other VM.
+    :param is_known: returns whether an instance is not terminated. Otherwise, VMs that
+        learn of its end at different times would send each other its limit for ever.
     """
 
     def __init__(
@@ -123,27 +123,28 @@
         self.shares = {}
 
     def observe(self, instance, rate, sent_at, now):
-        """An instance answered this VM.
+        """Record an answer of an instance to this VM.
 
-        :param rate: requests a second that the answer declares, None when it has none.
-        :param sent_at: when the request was sent; an answer to one that is older than
-            the limit doesn't end it.
+        :param rate: requests a second that the answer declares, None without a limit.
+        :param sent_at: when the request was sent; the answer to a request that is older
+            than the limit doesn't end it.
         """
         known = self.limits.get(instance)
         if rate is not None:
-            self._set(instance, max(LEAST_RATE, rate), now, now)
+            self._set(instance, max(MIN_RATE, rate), now, now)
         elif known is not None and (known.rate is None or sent_at > known.observed_at):
             known.clear_answers += 1
             if known.rate is None or known.clear_answers >= CLEAR_ANSWERS:
                 self._set(instance, None, now, now)
 
     def apply_update(self, instance, rate, observed_at, now):
-        """Another VM tells what an instance declared.
+        """Apply what another VM reported of an instance's limit.
 
         :param rate: as in :meth:`observe`.
+        :param observed_at: when an answer showed it to that VM, monotonic seconds here.
         """
         known = self.limits.get(instance)
-        if known and observed_at <= known.observed_at + HEARD_MARGIN_SECONDS:
+        if known and observed_at <= known.observed_at + OBSERVATION_MARGIN_SECONDS:
             return
         if known or rate is not None:
             self._set(instance, rate, observed_at, now)
@@ -163,12 +164,12 @@
             logger.warning("instance limit", instance=instance, rate=rate)
 
     def forget(self, instance):
-        """The instance is gone."""
-        for kept in (self.limits, self.senders, self.shares):
-            kept.pop(instance, None)
+        """Drop an instance that is terminated."""
+        for by_instance in (self.limits, self.senders, self.shares):
+            by_instance.pop(instance, None)
 
     def permits(self, instance, now):
-        """True when this VM may send a request to an instance now."""
+        """Return whether this VM may send a request to an instance now."""
         limit = self.limits.get(instance)
         if limit is None or limit.rate is None:
             return True
@@ -199,7 +200,7 @@
         return share
 
     def _senders(self, limit, now):
-        if now - self.members_at >= MEMBERS_SECONDS:
+        if now - self.members_at >= MEMBERS_INTERVAL_SECONDS:
             members = self.find_members(now)
             if members != self.members:
                 self.senders.clear()
@@ -211,18 +212,18 @@
         return chosen
 
     def updates(self, now, everything):
-        """Return the :class:`RateLimit` to tell the peers.
+        """Return the list of :class:`RateLimit` to send to the peers.
 
-        :param everything: whether to tell all of them, not only what changed lately.
+        :param everything: whether to send all of them, not only recent changes.
         """
         return [
             limit
             for limit in self.limits.values()
-            if everything or now - limit.changed_at <= NEWS_SECONDS
+            if everything or now - limit.changed_at <= UPDATE_REPEAT_SECONDS
         ]
 
 
 def _differ(rate, other):
     if rate is None or other is None:
         return rate is not other
-    return abs(rate - other) > NEWS_CHANGE * max(rate, other)
+    return abs(rate - other) > RATE_CHANGE_THRESHOLD * max(rate, other)
--- a/src/mulberrydock/refusal.py
+++ b/src/mulberrydock/refusal.py
@@ -1,71 +1,75 @@
-"""Whether a request is refused at once, and when its client should come back.
+"""Decides whether a request is refused at once, and when its client should retry.
 
-The load pattern this answers is a burst, or a loss of engines, that leaves more
-prompts waiting than are read before their clients leave. Held, such a request
-earns nothing and is in the way of others; refused with a time, it is served
-when the queue is short or an engine is back.
+Needed for bursts and lost engines: more prompts then wait than can be prefilled before
+their clients time out. Such a request would fail anyway and delay others; refused with
+a retry time, it is served once the queue is short or an engine is back.
 """
 
 import attrs
 
-#: Seconds told to a client whose request found no place.
+#: Seconds until the retry of a request for which there was no free slot.
 RETRY_AFTER_SECONDS = 0.5
-#: Seconds told to a client whose service has no instance that could take it: an
-#: engine is back 3 s after a stage order, a crashed one after 2 to 5 s. A client
-#: that comes back sooner is refused again, and then often for good.
+#: Seconds until the retry when a service has no instance that could take the request:
+#: an engine is available 3 s after a stage order, a crashed one after 2 to 5 s. An
+#: earlier retry is refused again, and the client often gives up then.
 NO_INSTANCE_RETRY_SECONDS = 3.0
-#: Seconds told to a client whose request crashes instances: nothing will have changed
-#: within the time that it has.
+#: Seconds until the retry of a request that crashes instances: nothing will have
+#: changed before its deadline.
 QUARANTINE_RETRY_SECONDS = 3600.0
-#: Multiple of a client's patience that the wait must exceed before a stream is
-#: refused: estimates are rough, and a refused client may not come back.
-HOPELESS_FACTOR = 2.0
-#: Share of its time left after which a client still comes back (a third), less
-#: a little, as it has been on its way.
-COME_BACK_SHARE = 0.3
+#: Multiple of the client's idle timeout that the expected wait must exceed before a
+#: stream is refused: estimates are rough, and a refused client may not retry.
+REFUSAL_WAIT_FACTOR = 2.0
+#: Share of the remaining time after which a client still retries: a third, less a
+#: little for the time that the request has already been under way.
+RETRY_SHARE = 0.3
 
 
 @attrs.define(frozen=True)
 class Refusal:
-    """Why a request is refused, and the seconds after which its client comes back."""
+    """Why a request is refused, and the seconds after which its client should retry."""
 
     reason: str
     retry_after: float
 
 
-def refuse(plan, patience, most_urgent, left):
-    """Return the :class:`Refusal` of a request that ``plan`` can't serve, None when
-    it may be in time.
+def refuse(plan, client_idle_timeout, most_urgent, left):
+    """Return the :class:`Refusal` of a request, None if ``plan`` may serve it in time.
 
-    :param patience: seconds without an event for which the client stays.
+    :param client_idle_timeout: seconds without an event after which the client gives
+        up.
     :param most_urgent: True when no other request of the service is more urgent.
     :param left: seconds until the request's deadline.
     """
-    if plan.crowded and not most_urgent:
-        # With more streams than places all of them are slower, and the long answers
-        # reach their deadline; the most urgent ones take the places of others.
+    if plan.no_free_slot and not most_urgent:
+        # With more streams than slots all of them slow down, and long answers miss
+        # their deadline; the most urgent requests preempt others.
         return Refusal("no decode engine has a place", retry_after(True, left))
-    return _hopeless(plan, min(patience, left), left)
+    return _refuse_late(plan, min(client_idle_timeout, left), left)
 
 
-def _hopeless(plan, patience, left):
-    """Refuse a stream whose first event is expected long after its client has left:
-    it would only hold up others.
+def _refuse_late(plan, client_idle_timeout, left):
+    """Return the :class:`Refusal` of a stream whose first event is expected long after
+    its client times out, as it would only delay others; None for any other stream.
 
-    One that is late by its own length finds no better time.
+    A stream that is late because of its own prefill time is not refused: a retry would
+    take as long.
     """
-    if plan.wait <= patience * HOPELESS_FACTOR or plan.reading > plan.wait / 2:
+    if (
+        plan.wait <= client_idle_timeout * REFUSAL_WAIT_FACTOR
+        or plan.prefill_seconds > plan.wait / 2
+    ):
         return None
-    seconds = min(plan.wait - patience / 2, left * COME_BACK_SHARE)
+    seconds = min(plan.wait - client_idle_timeout / 2, left * RETRY_SHARE)
     return Refusal(f"expected to wait {plan.wait:.1f} s", seconds)
 
 
 def retry_after(found_instance, left):
-    """Return the seconds after which a refused client may find a place, as far
-    as it has the time for it.
+    """Return the seconds after which a refused client should retry, as far as its
+    deadline allows.
 
     :param found_instance: whether there was any instance to ask.
+    :param left: seconds until the request's deadline.
     """
     if found_instance:
         return RETRY_AFTER_SECONDS
-    return min(NO_INSTANCE_RETRY_SECONDS, max(0.0, left) * COME_BACK_SHARE)
+    return min(NO_INSTANCE_RETRY_SECONDS, max(0.0, left) * RETRY_SHARE)
--- a/src/mulberrydock/rendezvous.py
+++ b/src/mulberrydock/rendezvous.py
@@ -1,12 +1,12 @@
-"""Rendezvous hashing: an order of names on which all VMs agree without a message.
+"""Rendezvous hashing: an order of names that all VMs compute alike, without a message.
 
-The first in the order of a key owns it. When a name comes or goes, only the keys
-that it owns move.
+The first name in the order of a key owns that key. When a name is added or removed,
+only the keys that it owns move.
 """
 
 import hashlib
 
 
 def rank(key, name):
-    """Return the place of ``name`` in the order of ``key``, as bytes that compare."""
+    """Return the sort key of ``name`` in the order of ``key``, as bytes."""
     return hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest()
--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -1,9 +1,8 @@
-"""What an entry knows of the upstreams, and which of them may take a request.
+"""Tracks the upstreams of an entry and decides which of them may take a request.
 
-A policy (see ``policies``) picks among those. What an upstream has to do
-before a new request is estimated from its last load report, which lags, and
-from what this entry has sent it since. The present time is an argument of
-every decision.
+A policy (see ``policies``) picks among those. The work ahead of a new request is
+estimated from the upstream's last load report, which lags, and from what this entry has
+sent to it since. The present time is an argument of every decision.
 """
 
 import collections
@@ -14,13 +13,13 @@
 
 from . import defaults, policies
 
-#: Seconds an upstream that failed is passed over.
-FAILURE_HOLD_SECONDS = 2.0
-#: Seconds after which a load report says nothing about the present.
+#: Seconds for which an upstream is avoided after a failure.
+FAILURE_AVOID_SECONDS = 2.0
+#: Seconds after which a load report is stale.
 REPORT_EXPIRY_SECONDS = 5.0
-#: Seconds for which sent work is taken to be unfinished without a report.
+#: Seconds for which sent work counts as unfinished without a fresh report.
 UNREPORTED_SECONDS = 1.0
-#: Seconds over which an entry's own sending rate is averaged.
+#: Time constant of the average of an entry's own sending rate, in seconds.
 SEND_RATE_SECONDS = 5.0
 #: Roles that generate tokens, and the role that only prefills.
 DECODING_ROLES = ("both", "decode")
@@ -29,10 +28,10 @@
 
 @attrs.define(frozen=True)
 class Work:
-    """What a request asks of an engine: tokens in, tokens out, its prefix.
+    """What a request asks of an engine: prompt tokens, output tokens and its prefix.
 
-    ``key`` is the routing key of the prompt's first blocks and ``blocks`` the
-    hashes of all of them; both are empty for calls to a service.
+    ``key`` is the routing key of the prompt's first blocks and ``blocks`` are the
+    hashes of all blocks; both are empty for calls to a service.
     """
 
     prompt_tokens: int = 0
@@ -43,7 +42,11 @@
 
 @attrs.define(frozen=True)
 class LoadReport:
-    """An engine's load as it reported it; ``taken_at`` on this entry's clock."""
+    """Load of an engine as it reported it.
+
+    ``taken_at`` is in monotonic seconds of this entry; ``active`` and ``waiting`` count
+    runs, the backlogs are in tokens.
+    """
 
     taken_at: float = -REPORT_EXPIRY_SECONDS
     available: bool = True
@@ -56,7 +59,7 @@
 
 @attrs.define
 class SendRate:
-    """Decaying rate of what this entry sends: prompt tokens and runs a second."""
+    """Exponentially weighted rate of sends: prompt tokens and runs a second."""
 
     prompt_tokens: float = 0.0
     runs: float = 0.0
@@ -69,9 +72,9 @@
         self.runs += 1 / SEND_RATE_SECONDS
 
     def _decay(self, now):
-        keep = math.exp(-max(0.0, now - self.at) / SEND_RATE_SECONDS)
-        self.prompt_tokens *= keep
-        self.runs *= keep
+        factor = math.exp(-max(0.0, now - self.at) / SEND_RATE_SECONDS)
+        self.prompt_tokens *= factor
+        self.runs *= factor
         self.at = now
 
 
@@ -79,7 +82,8 @@
 class Upstream:
     """An engine or service instance as the router sees it.
 
-    Rates are tokens a second and are 0 for a service instance.
+    Rates are in tokens a second, 0 for a service instance. ``failed_until`` is in
+    monotonic seconds. ``sent`` holds the latest (time, :class:`Work`) rows.
     """
 
     name: str
@@ -99,7 +103,7 @@
 
     @classmethod
     def from_engine(cls, engine, model):
-        """Build from a settings engine that should run ``model``."""
+        """Return the upstream of a settings engine that should run ``model``."""
         return cls(
             engine.name,
             engine.address,
@@ -111,25 +115,25 @@
         )
 
     def redeclare(self, fresh):
-        """Take what ``fresh`` declares; keep what was learned and is in flight."""
+        """Take over what ``fresh`` declares; keep load, failures and work in flight."""
         self.address = fresh.address
         self.data_centre = fresh.data_centre
         self.model = fresh.model
 
     def record_send(self, work, now):
-        """Remember ``work`` sent at ``now``, until a report includes it."""
+        """Record ``work`` sent at ``now``; it counts until a report includes it."""
         self.sent.append((now, work))
         self.send_rate.add(work, now)
 
     def _sent_since(self, moment):
-        # Newest first, so that each decision reads only what is new.
+        # Newest first, so that each decision iterates over new rows only.
         newer = itertools.takewhile(lambda row: row[0] > moment, reversed(self.sent))
         return [work for _, work in newer]
 
     def wait_seconds(self, work, now, entries=1):
-        """Estimate seconds until the first token of ``work`` sent at ``now``.
+        """Return the estimated seconds to the first token of ``work`` sent at ``now``.
 
-        :param entries: entry daemons that share the engines; each is taken
+        :param entries: number of entry daemons that share the engines; each is assumed
             to have sent at this one's average rate since the report.
         """
         if not self.prefill_rate:
@@ -153,7 +157,7 @@
         return prompts / rate + self._slot_wait(report, runs)
 
     def _slot_wait(self, report, runs):
-        """Seconds until a batch slot is free with ``runs`` runs before ours."""
+        """Return the seconds until a batch slot is free with ``runs`` runs ahead."""
         excess = runs - self.batch_size + 1
         if excess <= 0:
             return 0.0
@@ -162,19 +166,23 @@
         return excess * mean_output * self.step_seconds() / self.batch_size
 
     def step_seconds(self):
-        """Seconds between two tokens at the reported occupancy, no prefill."""
+        """Return the seconds between two tokens at the reported occupancy, without
+        prefills."""
         load = min(1.0, self.report.active / self.batch_size)
         return (1 + defaults.FULL_BATCH_SLOWDOWN * load) / self.decode_rate
 
     def generate_seconds(self, work):
-        """Estimate seconds from the first to the last token of ``work``."""
+        """Return the estimated seconds from the first to the last token of ``work``."""
         return work.output_tokens * self.step_seconds() if self.decode_rate else 0.0
 
 
 class Router:
-    """Keeps the upstreams of one kind and picks one per request.
+    """Holds the upstreams of one kind and picks one for each request.
+
+    ``leaving`` and ``listed_leaving`` are the names of upstreams that are leaving, by
+    the configuration and by the platform's list; ``held`` are the cordoned ones.
 
-    :param policy: a :class:`Policy`.
+    :param policy: a :class:`~mulberrydock.policies.Policy`.
     """
 
     def __init__(self, policy=None):
@@ -187,7 +195,7 @@
     def update(self, upstreams, leaving):
         """Replace the set of upstreams.
 
-        A known one stays the same object, as requests in flight hold it.
+        A known one stays the same object, as requests in flight refer to it.
         """
         fresh = {}
         for upstream in upstreams:
@@ -198,17 +206,16 @@
         self.leaving = set(leaving)
 
     def set_listed_leaving(self, names):
-        """Take the VMs that the platform's list shows as leaving."""
+        """Replace the names of VMs that the platform's list shows as leaving."""
         self.listed_leaving = set(names)
 
     def candidates(self, model, tried, now, roles=DECODING_ROLES):
-        """Upstreams that may take a request for ``model`` now.
+        """Return the upstreams that may take a request for ``model`` now.
 
-        Leaving ones and those held for a change are never among them. One
-        that reports itself unavailable is only if no other is, and one that
-        failed a moment ago only if all did: the report may lag, and an engine
-        that is dead would take a retry from every request until the retry
-        budget is spent.
+        Leaving and cordoned upstreams are never included, nor those in ``tried``. One
+        that reports itself unavailable is included only if no other upstream is, and
+        one that failed a moment ago only if all of them did: the report may lag, and a
+        dead engine would cost every request a retry until the retry budget is spent.
         """
         excluded = self.leaving | self.listed_leaving | self.cordoned | tried
         eligible = [
@@ -218,17 +225,18 @@
             and u.report.role in roles
             and (not model or u.model == model)
         ]
-        sound = [u for u in eligible if u.failed_until <= now]
-        healthy = [u for u in sound if u.report.available]
-        return healthy or sound or eligible
+        healthy = [u for u in eligible if u.failed_until <= now]
+        available = [u for u in healthy if u.report.available]
+        return available or healthy or eligible
 
     def choose(self, model, tried, work, now, roles=DECODING_ROLES):
-        """Return an upstream for ``work`` not in ``tried``, or None."""
+        """Return an upstream for ``work`` that isn't in ``tried``, or None."""
         candidates = self.candidates(model, tried, now, roles)
         if not candidates:
             return None
         return self.policy.pick(candidates, work, now)
 
     def record_failure(self, upstream, now):
-        """Pass over ``upstream`` for a while after a failure at ``now``."""
-        upstream.failed_until = now + FAILURE_HOLD_SECONDS
+        """Record a failure of ``upstream`` at ``now``, so that it is avoided for
+        :data:`FAILURE_AVOID_SECONDS`."""
+        upstream.failed_until = now + FAILURE_AVOID_SECONDS
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -1,10 +1,10 @@
-"""How many engines of a pool prefill, and which one to change.
+"""Decides how many engines of a pool prefill, and which one changes its stage.
 
-Answers two patterns. A mix whose prompts grow or shrink against its answers: the
-stage that is short makes every client wait while the other one idles. And engines
-that leave or crash until none of a pool is left that prefills, or that decodes. A
-change darkens an engine for seconds, so a pool is only changed when the measured
-demand asks for it, the other stage can spare the engine, and that lasts.
+Needed in two cases. When prompts grow or shrink relative to the answers, one stage is
+overloaded and delays every client while the other one idles. When engines leave or
+crash, a pool may end up without any engine that prefills or decodes. A stage change
+makes its engine unavailable for seconds, so a pool is changed only if the measured
+demand requires it, the other stage can spare the engine, and the imbalance lasts.
 """
 
 import math
@@ -15,63 +15,65 @@
 from .peer_loads import Load
 from .prefill_cost import IN_PLACE_SPEED_RATIO
 
-#: Share of a pool's engines that decode while nothing is known of its mix: a
-#: change costs nothing before the first request. Prompts take engines, answers
+#: Share of a pool's engines that decode before its mix is known: a change costs
+#: nothing before the first request. Prompts often need most of the engines, answers
 #: rarely do.
 IDLE_DECODING_SHARE = 1 / 3
-#: The same for engines of less than ``FEW_PLACES`` places: answers that need a third
-#: of the engines of usual pools, which have 64, need more of them.
-IDLE_DECODING_SHARE_FEW_PLACES = 1 / 2
-FEW_PLACES = 24
-#: Decode engines that an idle pool has at least: one may be lost while another is
-#: dark for a change.
-IDLE_DECODERS = 3
-#: Utilization of the prefill engines, by what decode engines can't read as well,
-#: above which one more of them is worth the seconds in which it is dark: in a pool of
-#: up to ``SMALL_POOL`` engines, where that is a ninth of it at least, and in one so
-#: large that it hardly matters. Prompts wait five times as long at 0.85 as at 0.5.
-MOST_READING = 1.2
-MOST_READING_LARGE = 0.5
+#: The same for engines with fewer than ``SMALL_ENGINE_SLOTS`` slots: answers that take
+#: a third of the engines of usual pools, which have 64 slots, take more of these.
+IDLE_DECODING_SHARE_SMALL_ENGINES = 1 / 2
+SMALL_ENGINE_SLOTS = 24
+#: Minimum of decode engines in an idle pool: one may be lost while another one is
+#: unavailable for a stage change.
+MIN_IDLE_DECODERS = 3
+#: Utilization of the prefill engines, by work that decode engines can't do as well,
+#: above which one more of them is worth the seconds for which it is unavailable. The
+#: first value holds for pools of up to ``SMALL_POOL`` engines, where one engine is at
+#: least a ninth of the pool, the second for pools so large that one hardly matters.
+#: Prompts wait five times as long at 0.85 as at 0.5.
+MAX_PREFILL_UTILIZATION = 1.2
+MAX_PREFILL_UTILIZATION_LARGE = 0.5
 SMALL_POOL = 9
-#: Engines from which a change of one is hardly noticed: twice as many.
+#: Number of engines, twice as many, from which a change of one is hardly noticed.
 LARGE_POOL = 18
-#: Utilization of the decode engines above which one more decodes; their streams
-#: share an engine, and each of them slows the others.
+#: Utilization of the decode engines above which one more decodes; the streams of an
+#: engine share it and slow each other down.
 MAX_DECODE_UTILIZATION = 0.8
-#: Engines from which a pool keeps two decode engines: with one, nothing runs for
-#: as long as a change takes once it is lost.
-SPARE_DECODER_FROM = 3
-#: Seconds for which a pool must lack a whole stage before one is changed; a
-#: crashed engine's record takes longer than this to lapse.
-MISSING_SECONDS = 0.3
-#: Seconds for which a pool must have too few decode engines: one that crashed is
-#: back, in its old stage, after 2 to 5 s, and its record lapses after 3.6 s.
-FEW_DECODERS_SECONDS = 6.0
-#: Seconds for which a pool must lack prefill engines: the average of the demand
-#: has no trend of its own by then, and long prompts are answered late meanwhile. A
-#: large pool that lost no engine needn't wait longer for decode engines either.
+#: Number of engines from which a pool keeps two decode engines: if the only one is
+#: lost, nothing runs for as long as a stage change takes.
+SPARE_DECODER_MIN_POOL = 3
+#: Seconds for which a pool must lack a whole stage before an engine is changed. The
+#: record of a crashed engine takes longer than this to expire.
+MISSING_STAGE_SECONDS = 0.3
+#: Seconds for which a pool must have too few decode engines. A crashed engine is back,
+#: in its old stage, after 2 to 5 s, and its record expires after 3.6 s.
+DECODER_SHORTAGE_SECONDS = 6.0
+#: Seconds for which a pool must have too few prefill engines: the averaged demand has
+#: settled by then, and long prompts are answered late meanwhile. A large pool that has
+#: lost no engine needn't wait longer for decode engines either.
 PREFILL_SHORTAGE_SECONDS = 2.0
-#: Seconds for which a pool must lack engines of a stage after an engine's notice
-#: that it leaves: that engine won't be back. Its successor, where it is replaced,
-#: has registered before the notice.
-NOTICED_SECONDS = 0.5
+#: Seconds for which a pool must lack engines of a stage after an engine announced that
+#: it leaves: it won't be back. Its successor, if there is one, registers before the
+#: announcement.
+ANNOUNCED_LEAVE_SECONDS = 0.5
 #: Share of a pool that may be under change at once.
-CHANGED_SHARE = 0.25
-#: Seconds after an order for which its engine counts as under change: the users'
-#: engines are dark for 3 s, and one without an answer may be carried out 12 s
-#: late. A refused order did nothing; its engine's report lags a little.
+MAX_CHANGING_SHARE = 0.25
+#: Seconds after an order for which its engine counts as under change. An engine is
+#: unavailable for 3 s after an accepted order, and an order without an answer may be
+#: carried out 12 s late. A refused order had no effect; only the report of its engine
+#: lags a little.
 ORDER_SETTLE_SECONDS = 5.0
 UNANSWERED_SETTLE_SECONDS = 13.0
 REFUSED_SETTLE_SECONDS = 0.6
-#: Seconds after which an order without an answer is given again, to the same
-#: engine: the two carry the same order count, so only one is carried out. The
-#: engine's report lags by some hundred milliseconds.
-REPEAT_SECONDS = 0.6
+#: Seconds after which an unanswered order is sent again to the same engine. Both carry
+#: the same order count, so that only one is carried out. The engine's report lags by
+#: some hundred milliseconds.
+ORDER_RETRY_SECONDS = 0.6
 
 
 @attrs.define(frozen=True)
 class StageNeeds:
-    """Engines' worth of work that is asked of each stage of a pool.
+    """Work that is asked of each stage of a pool, in numbers of busy engines.
 
     ``short`` is the part of ``prefill_demand`` that decode engines could do as well.
     """
@@ -83,48 +85,54 @@
 
 @attrs.define(frozen=True)
 class StageChange:
-    """An order to be given: the engine and the stage it should have."""
+    """A change to be ordered: the engine and its new stage."""
 
     instance: object
     stage: Stage
 
 
-def spare_decoders(count):
-    """Return how many of ``count`` engines decode at least, for their loss."""
+def min_decoders(count):
+    """Return how many of ``count`` engines have to decode, so that one may be lost."""
     if count < 2:
         return count
-    return 2 if count >= SPARE_DECODER_FROM else 1
+    return 2 if count >= SPARE_DECODER_MIN_POOL else 1
 
 
 def idle_prefills(count, slots):
-    """Return how many of ``count`` engines prefill before any demand.
+    """Return how many of ``count`` engines prefill before there is any demand.
 
-    :param slots: places of an engine.
+    :param slots: slots of an engine.
     """
-    few = slots < FEW_PLACES
-    share = IDLE_DECODING_SHARE_FEW_PLACES if few else IDLE_DECODING_SHARE
-    least = min(IDLE_DECODERS, (count + 1) // 2)
-    return count - max(least, round(count * share))
+    small = slots < SMALL_ENGINE_SLOTS
+    share = IDLE_DECODING_SHARE_SMALL_ENGINES if small else IDLE_DECODING_SHARE
+    minimum = min(MIN_IDLE_DECODERS, (count + 1) // 2)
+    return count - max(minimum, round(count * share))
 
 
 def sustainable_streams(slots):
-    """Return how many requests an engine of ``slots`` places bears on average.
+    """Return how many streams an engine of ``slots`` slots sustains on average.
 
-    The number in use varies by its square root, so that twice that must be free: an
-    engine of 64 places bears 50, one of 12 not quite 7. Beyond them it preempts.
+    The number of slots in use varies by its square root, and twice that must be free:
+    an engine of 64 slots sustains 50 streams, one of 12 not quite 7. Beyond that number
+    it preempts streams.
     """
     return (math.sqrt(1 + slots) - 1) ** 2
 
 
-def most_reading(count):
+def max_prefill_utilization(count):
     """Return the utilization that prefill engines of a pool of ``count`` may have."""
     small = min(1.0, SMALL_POOL / count)
-    return MOST_READING_LARGE + (MOST_READING - MOST_READING_LARGE) * small
+    return (
+        MAX_PREFILL_UTILIZATION_LARGE
+        + (MAX_PREFILL_UTILIZATION - MAX_PREFILL_UTILIZATION_LARGE) * small
+    )
+
 
+def busiest_utilization(prefills, decoders, needs):
+    """Return the utilization of a pool's busier stage.
 
-def busiest(prefills, decoders, needs):
-    """Return the utilization of a pool's busier stage; decode engines read what no
-    prefill engine does."""
+    Decode engines prefill if there is no prefill engine.
+    """
     if not prefills:
         work = needs.prefill_demand / IN_PLACE_SPEED_RATIO + needs.decode_demand
         return work / max(1, decoders)
@@ -132,26 +140,26 @@
 
 
 def _relieves(prefills, decoders, needs):
-    """True when one decode engine more, in place of a prefill engine, helps the
-    stage that is short more than it harms the other."""
-    after = busiest(prefills - 1, decoders + 1, needs)
-    return after < busiest(prefills, decoders, needs)
+    """Return whether turning a prefill engine into a decode engine helps the overloaded
+    stage more than it harms the other one."""
+    after = busiest_utilization(prefills - 1, decoders + 1, needs)
+    return after < busiest_utilization(prefills, decoders, needs)
 
 
 def prefills_wanted(prefills, decoders, needs, slots):
-    """Return how many of a pool's engines should prefill, as it stands.
+    """Return how many engines of a pool should prefill, given the present numbers.
 
-    A pool in which no stage is short stays as it is: what a change would win is
-    less than the seconds for which its engine is dark.
+    A pool in which no stage is overloaded stays as it is: a change would gain less than
+    it loses in the seconds for which its engine is unavailable.
     """
     count = prefills + decoders
     if needs is None:
         return idle_prefills(count, slots)
-    spare = spare_decoders(count)
+    spare = min_decoders(count)
     if decoders < spare:
         return max(0, min(prefills - 1, count - spare)) if count > 1 else 0
-    crowded = needs.decode_demand > MAX_DECODE_UTILIZATION * decoders
-    if prefills and crowded and _relieves(prefills, decoders, needs):
+    overloaded = needs.decode_demand > MAX_DECODE_UTILIZATION * decoders
+    if prefills and overloaded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SPEED_RATIO * max(0.0, decoders - needs.decode_demand)
     prefill_demand = needs.prefill_demand - min(needs.short_prefill_demand, idle)
@@ -159,138 +167,147 @@
     can_spare = can_spare and needs.decode_demand <= MAX_DECODE_UTILIZATION * (
         decoders - 1
     )
-    if can_spare and prefill_demand > most_reading(count) * prefills:
+    if can_spare and prefill_demand > max_prefill_utilization(count) * prefills:
         return prefills + 1
     return prefills if prefills or count < 2 else 1
 
 
 @attrs.define
 class PendingOrder:
-    """An order that was sent: the stage it asks for, until when it may still
-    be at work and, if it wasn't answered, from when on it may be given again
-    (monotonic seconds)."""
+    """An order that was sent and may still be carried out.
+
+    ``stage`` is the one that it asks for. Until ``until`` it may take effect; if it
+    wasn't answered, it may be sent again from ``retry_at`` on (monotonic seconds).
+    """
 
     stage: Stage
     until: float
-    repeat_at: float | None = None
+    retry_at: float | None = None
 
 
 @attrs.define
 class StagePlanner:
-    """Decides stage changes of one pool; remembers since when it is off.
+    """Decides stage changes of one pool and tracks how long it is out of balance.
 
-    ``lacking`` is the stage that it lacks since ``off_since``; ``ordered`` maps
-    incarnations' names to the :class:`PendingOrder` that may be at work; ``noticed_at``
-    is when an engine of the pool was last known to be leaving, ``lost_at`` when one
-    left that might come back.
+    ``lacking`` is the stage that has too few engines since ``imbalanced_since``.
+    ``leave_announced_at`` is when an engine of the pool was last known to be leaving,
+    ``engine_lost_at`` when one disappeared that may come back (monotonic seconds).
+    ``known_ids`` are the names of incarnations at the last decision; ``pending_orders``
+    maps such names to the :class:`PendingOrder` that may still take effect.
     """
 
-    off_since: float | None = None
+    imbalanced_since: float | None = None
     lacking: Stage | None = None
-    noticed_at: float | None = None
-    lost_at: float | None = None
-    known: set = attrs.field(factory=set)
-    ordered: dict = attrs.field(factory=dict)
+    leave_announced_at: float | None = None
+    engine_lost_at: float | None = None
+    known_ids: set = attrs.field(factory=set)
+    pending_orders: dict = attrs.field(factory=dict)
 
     def record_order(self, change, settle, now):
-        """An order was sent: leave the pool alone until it is over.
+        """Record an order that was sent, so that its engine counts as under change.
 
-        An earlier order to that engine which wasn't answered stays unsettled
-        when this one was refused: it may yet be carried out.
+        If this order was refused, an earlier unanswered one to the same engine stays
+        pending: it may still be carried out.
 
-        :param settle: seconds until it is over, one of the constants above.
+        :param settle: seconds for which it counts, one of the constants above.
         """
-        known = self.ordered.get(change.instance.id)
-        if settle == REFUSED_SETTLE_SECONDS and known and now < known.until:
-            known.repeat_at = now + REPEAT_SECONDS
+        pending = self.pending_orders.get(change.instance.id)
+        if settle == REFUSED_SETTLE_SECONDS and pending and now < pending.until:
+            pending.retry_at = now + ORDER_RETRY_SECONDS
             return
-        repeats = settle == UNANSWERED_SETTLE_SECONDS
-        repeat_at = now + REPEAT_SECONDS if repeats else None
-        order = PendingOrder(change.stage, now + settle, repeat_at)
-        self.ordered[change.instance.id] = order
+        unanswered = settle == UNANSWERED_SETTLE_SECONDS
+        retry_at = now + ORDER_RETRY_SECONDS if unanswered else None
+        order = PendingOrder(change.stage, now + settle, retry_at)
+        self.pending_orders[change.instance.id] = order
 
-    def _repeated(self, engines, now):
+    def _retry(self, engines, now):
         """Return the change whose order wasn't answered and is due again."""
         for engine in engines:
-            order = self.ordered.get(engine.id)
-            due = order and order.repeat_at is not None and now >= order.repeat_at
+            order = self.pending_orders.get(engine.id)
+            due = order and order.retry_at is not None and now >= order.retry_at
             if due:
                 return StageChange(engine, order.stage)
         return None
 
     def under_change(self, engines, now):
-        """Return the ids of the engines at which an order may be at work.
+        """Return the ids of the engines whose orders may still be carried out.
 
-        It is over when its engine shows the stage it asks for, or has left;
-        the pool may then need the next change at once.
+        An order ends when its engine reports the stage that it asks for, or has left,
+        as the pool may need the next change at once.
         """
         stages = {engine.id: engine.record.stage for engine in engines}
-        self.ordered = {
+        self.pending_orders = {
             instance_id: order
-            for instance_id, order in self.ordered.items()
+            for instance_id, order in self.pending_orders.items()
             if order.until > now
             and instance_id in stages
             and stages[instance_id] is not order.stage
         }
-        return set(self.ordered)
+        return set(self.pending_orders)
 
-    def _patience(self, prefills, decoders, wanted):
-        """Return for how many seconds the pool may stay as it is."""
+    def _tolerated_seconds(self, prefills, decoders, wanted):
+        """Return for how many seconds the pool may stay out of balance."""
         if not prefills or not decoders:
-            return MISSING_SECONDS
-        if self.noticed_at is not None and self.noticed_at >= self.off_since:
-            return NOTICED_SECONDS
+            return MISSING_STAGE_SECONDS
+        if (
+            self.leave_announced_at is not None
+            and self.leave_announced_at >= self.imbalanced_since
+        ):
+            return ANNOUNCED_LEAVE_SECONDS
         if len(prefills) < wanted:
             return PREFILL_SHORTAGE_SECONDS
-        lost = self.lost_at is not None
-        lost = lost and self.off_since - self.lost_at < FEW_DECODERS_SECONDS
+        lost = self.engine_lost_at is not None
+        lost = (
+            lost
+            and self.imbalanced_since - self.engine_lost_at < DECODER_SHORTAGE_SECONDS
+        )
         if lost or len(prefills) + len(decoders) < LARGE_POOL:
-            return FEW_DECODERS_SECONDS
+            return DECODER_SHORTAGE_SECONDS
         return PREFILL_SHORTAGE_SECONDS
 
     def decide(self, engines, leaving, loads, needs, now):
-        """Return a :class:`StageChange`, or None.
+        """Return the :class:`StageChange` to order next, or None.
 
         :param engines: instances of the pool that may take new work.
         :param leaving: True while others of the pool are leaving.
-        :param loads: work at each, by instance id.
-        :param needs: the :class:`StageNeeds` measured, None before any request.
+        :param loads: :class:`~mulberrydock.peer_loads.Load` by instance id.
+        :param needs: the measured :class:`StageNeeds`, None before any request.
         """
         if leaving:
-            self.noticed_at = now
-        known = {engine.id for engine in engines}
-        if self.known - known:
-            self.lost_at = now
-        self.known = known
+            self.leave_announced_at = now
+        known_ids = {engine.id for engine in engines}
+        if self.known_ids - known_ids:
+            self.engine_lost_at = now
+        self.known_ids = known_ids
         changing = self.under_change(engines, now)
-        prefills = [e for e in engines if self._becomes(e) is Stage.PREFILL]
-        decoders = [e for e in engines if self._becomes(e) is Stage.DECODE]
+        prefills = [e for e in engines if self._next_stage(e) is Stage.PREFILL]
+        decoders = [e for e in engines if self._next_stage(e) is Stage.DECODE]
         slots = max((engine.record.slots for engine in engines), default=0)
         wanted = prefills_wanted(len(prefills), len(decoders), needs, slots)
-        repeated = self._repeated(engines, now)
-        if repeated is not None:
-            return repeated
+        retry = self._retry(engines, now)
+        if retry is not None:
+            return retry
         if len(prefills) == wanted:
-            self.off_since = None
+            self.imbalanced_since = None
             return None
         lacking = Stage.PREFILL if len(prefills) < wanted else Stage.DECODE
-        if self.off_since is None or self.lacking is not lacking:
-            self.off_since, self.lacking = now, lacking
-        patience = self._patience(prefills, decoders, wanted)
-        if now - self.off_since < patience:
+        if self.imbalanced_since is None or self.lacking is not lacking:
+            self.imbalanced_since, self.lacking = now, lacking
+        tolerated = self._tolerated_seconds(prefills, decoders, wanted)
+        if now - self.imbalanced_since < tolerated:
             return None
-        if len(changing) >= max(1, int(len(engines) * CHANGED_SHARE)):
+        if len(changing) >= max(1, int(len(engines) * MAX_CHANGING_SHARE)):
             return None
         free = [e for e in engines if e.id not in changing]
         return self._change(free, lacking, loads)
 
-    def _becomes(self, engine):
-        """Return the stage an engine has, or is about to have by order."""
-        order = self.ordered.get(engine.id)
+    def _next_stage(self, engine):
+        """Return the stage that an engine has or was ordered to change to."""
+        order = self.pending_orders.get(engine.id)
         return order.stage if order else engine.record.stage
 
     def _change(self, engines, stage, loads):
-        """Pick the engine with the least work, as its change costs least."""
+        """Pick the engine with the fewest requests, as its change costs least."""
         engines = [e for e in engines if e.record.stage is not stage]
         if not engines:
             return None
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -1,35 +1,41 @@
-"""Which upstream instances to pass over for a while, from failures seen here.
+"""Decides which upstream instances to avoid for a while, by failures seen at this VM.
 
-An instance may fail part of its requests, answer nothing, or refuse
-connections while its health check is good; only the requests show it.
+Needed because an instance may fail some of its requests, answer none, or refuse
+connections while its health check passes; only the requests show it.
 """
 
 import attrs
 
-#: Seconds for which an instance is passed over after its first failure, and
-#: the longest such time; each further failure doubles it. A crashed engine is
-#: back after 2 to 5 s, so a probe by one request every few seconds is enough.
+#: Seconds for which an instance is avoided after its first failure, and the maximum;
+#: each further failure doubles the time. A crashed engine is back after 2 to 5 s, so
+#: probing it with one request every few seconds is enough.
 FIRST_SUSPICION_SECONDS = 1.0
-LONGEST_HOLD_SECONDS = 8.0
-#: Failures in a row, without an answer between, before the first hold: single
-#: failures (a lost answer, a spoiled one) happen at sound instances too.
+MAX_SUSPICION_SECONDS = 8.0
+#: Failures in a row, without an answer between them, before an instance is first
+#: avoided: single failures (a lost or invalid answer) occur at healthy instances too.
 TOLERATED_FAILURES = 1
-#: Seconds for which an instance that said it is full gets nothing new.
-FULL_SECONDS = 0.25
+#: Seconds for which an instance that refused a request for lack of a slot gets nothing
+#: new.
+NO_SLOT_SECONDS = 0.25
 
 
 @attrs.define
 class InstanceHealth:
-    """What the requests of this VM showed of one instance."""
+    """Failures of one instance as seen by the requests of this VM.
+
+    ``failures`` counts those since the last answer. The instance is avoided as suspect
+    until ``suspect_until`` and for lack of a slot until ``no_slot_until`` (monotonic
+    seconds). ``refusing`` is True if it refused the last call without running it.
+    """
 
     failures: int = 0
     suspect_until: float = 0.0
-    full_until: float = 0.0
+    no_slot_until: float = 0.0
     refusing: bool = False
 
 
 class Suspicion:
-    """Standings by instance id; every decision takes the present time."""
+    """The :class:`InstanceHealth` of each instance by id; all times are monotonic seconds."""
 
     def __init__(self):
         self.health_by_id = {}
@@ -39,36 +45,37 @@
         return self.health_by_id.setdefault(instance_id, InstanceHealth())
 
     def record_success(self, instance_id):
-        """The instance gave a whole answer."""
-        standing = self.health(instance_id)
-        standing.failures = 0
-        standing.suspect_until = 0.0
-        standing.refusing = False
+        """Record a complete answer of an instance, which ends the suspicion."""
+        health = self.health(instance_id)
+        health.failures = 0
+        health.suspect_until = 0.0
+        health.refusing = False
 
     def record_failure(self, instance_id, now, unreachable=False):
-        """A request failed; ``unreachable`` when no connection could be made.
+        """Record a failed request.
 
-        :returns: True when the instance is now passed over.
+        :param unreachable: True when no connection could be made.
+        :returns: True when the instance is avoided from now on.
         """
-        standing = self.health(instance_id)
-        standing.failures += 1
+        health = self.health(instance_id)
+        health.failures += 1
         tolerated = 0 if unreachable else TOLERATED_FAILURES
-        steps = standing.failures - tolerated - 1
+        steps = health.failures - tolerated - 1
         if steps < 0:
             return False
-        hold = min(FIRST_SUSPICION_SECONDS * 2**steps, LONGEST_HOLD_SECONDS)
-        standing.suspect_until = now + hold
+        seconds = min(FIRST_SUSPICION_SECONDS * 2**steps, MAX_SUSPICION_SECONDS)
+        health.suspect_until = now + seconds
         return True
 
     def record_refusal(self, instance_id, now):
-        """The instance refused a call without having begun it, as engines do under
-        a change of stage: the next ones will be refused as well."""
+        """Record a call that the instance refused without running it, as engines do
+        during a stage change: they refuse the next calls as well."""
         self.record_failure(instance_id, now, unreachable=True)
         self.health(instance_id).refusing = True
 
     def accepting(self, instances, now):
-        """Return the instances but those that refused the last call, for as long as
-        they are passed over."""
+        """Return the instances without those that refused the last call and are still
+        avoided for it."""
         return [
             instance
             for instance in instances
@@ -77,29 +84,30 @@
         ]
 
     def suspects(self, now):
-        """Return the ids of the instances that are passed over for failures."""
+        """Return the ids of the instances that are avoided because of failures."""
         return {i for i, s in self.health_by_id.items() if s.suspect_until > now}
 
     def record_no_slot(self, instance_id, now):
-        """The instance refused a request for lack of a place."""
-        self.health(instance_id).full_until = now + FULL_SECONDS
+        """Record that the instance refused a request for lack of a slot."""
+        self.health(instance_id).no_slot_until = now + NO_SLOT_SECONDS
 
     def forget(self, instance_id):
-        """The instance is gone for good."""
+        """Drop an instance that is terminated."""
         self.health_by_id.pop(instance_id, None)
 
     def healthy(self, instances, now, suspected_by_peers=frozenset()):
-        """Return those neither suspected nor full, or else all of them.
+        """Return the instances that are neither suspect nor without a slot; all of them
+        if that leaves none.
 
-        With every instance suspected the suspicion says nothing: the cause is
-        more likely here or on the way.
+        When all instances are suspect, the cause is more likely at this VM or in the
+        network.
 
         :param witnessed: ids of the instances that peers suspect.
         """
-        kept = []
+        healthy = []
         for instance in instances:
-            standing = self.health(instance.id)
-            passed = max(standing.suspect_until, standing.full_until) > now
-            if not passed and instance.id not in suspected_by_peers:
-                kept.append(instance)
-        return kept or list(instances)
+            health = self.health(instance.id)
+            avoided = max(health.suspect_until, health.no_slot_until) > now
+            if not avoided and instance.id not in suspected_by_peers:
+                healthy.append(instance)
+        return healthy or list(instances)
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -1,9 +1,9 @@
-"""A pool of engines in simulated time, under the product's real decisions.
+"""A pool of engines in simulated time, under the placement and refusal of mulberrydock.
 
-Engines as calibrated against played days: a prefill engine reads one prompt after
-the other, the most urgent next, finishes what it has begun, and keeps what it read,
-least recently used out first. Decoding takes a fixed time. Several entry VMs choose
-by the product's own placement; what one of them learns reaches the others late.
+A prefill engine prefills one prompt after the other, the most urgent next, finishes the
+one that it has begun, and evicts the least recently used parts from its cache. Decoding
+takes a fixed time. Several entry VMs choose engines, and the updates of one VM reach
+the others with a delay. The engines are calibrated against recorded loads.
 """
 
 import collections
@@ -21,17 +21,21 @@
 from mulberrydock.prefill_cost import IN_PLACE_SPEED_RATIO, PrefillCost
 from mulberrydock.prefix_cache import PrefixCacheIndex
 
-#: Seconds after which a VM's counts and reads reach its peers in a small fleet.
-NEWS_SECONDS = 0.2
-#: Seconds from the hand-over to the first event.
+#: Seconds between two updates of a VM to its peers in a small fleet.
+UPDATE_SECONDS = 0.2
+#: Seconds from the handoff to the first event.
 FIRST_EVENT_SECONDS = 0.03
-#: Seconds that an output token takes, in a batch that is half full.
+#: Seconds for an output token in a batch that is half full.
 TOKEN_SECONDS = 0.004
 
 
 @attrs.define(eq=False)
 class Job:
-    """One request: when it came, and when its first event was made, if it was."""
+    """One request: when it arrived, and when its first event came, if it did.
+
+    ``work`` is its prefill as counted by its VM; ``left`` is True once the client has
+    timed out.
+    """
 
     name: str
     prompt: object
@@ -46,22 +50,23 @@
 
 
 class Engine:
-    """One engine: reads prompts one after the other, or decodes beside them.
+    """One engine: prefills prompts one after the other, or decodes beside them.
 
-    ``taken`` counts the streams begun here, ``beyond`` those that found no place.
+    ``speed_ratio`` is its prefill speed over that of a prefill engine. ``started``
+    counts the streams that began here, ``beyond_slots`` those without a free slot.
     """
 
-    def __init__(self, pool, instance, share):
+    def __init__(self, pool, instance, speed_ratio):
         self.pool = pool
         self.instance = instance
-        self.share = share
+        self.speed_ratio = speed_ratio
         self.queue = []
         self.order = itertools.count()
         self.busy = False
-        self.kept = PrefixCacheIndex()
+        self.cache = PrefixCacheIndex()
         self.streams = 0
-        self.taken = 0
-        self.beyond = 0
+        self.started = 0
+        self.beyond_slots = 0
 
     def take(self, job, now):
         """Queue a prompt."""
@@ -70,37 +75,37 @@
         if not self.busy:
             self.begin(now)
 
-    def stream(self, change):
-        """A stream begins here (1) or ends (-1)."""
+    def change_streams(self, change):
+        """Count a stream that begins here (1) or ends (-1)."""
         self.streams += change
         if change > 0:
-            self.taken += 1
-            self.beyond += self.streams > self.instance.record.slots
+            self.started += 1
+            self.beyond_slots += self.streams > self.instance.record.slots
 
     def begin(self, now):
-        """Begin with the most urgent prompt whose client is still there."""
+        """Begin to prefill the most urgent prompt whose client hasn't left."""
         while self.queue:
             _, _, job = heapq.heappop(self.queue)
             if job.left:
                 continue
-            cached = self.kept.cached_tokens("here", job.prompt)
+            cached = self.cache.cached_tokens("here", job.prompt)
             tokens = job.prompt.tokens - cached
             seconds = self.pool.cost.seconds(self.pool.cost.work(tokens, cached))
             self.busy = True
-            end = now + self.pool.cost.overhead + seconds / self.share
+            end = now + self.pool.cost.overhead + seconds / self.speed_ratio
             self.pool.at(end, lambda: self.end(job, end))
             return
 
     def end(self, job, now):
-        """A prompt was read."""
+        """End the prefill of a prompt and begin the next one."""
         self.busy = False
-        self.kept.record_prefill("here", job.prompt, self.pool.memory)
+        self.cache.record_prefill("here", job.prompt, self.pool.memory)
         self.pool.record_prefill(self, job, now)
         self.begin(now)
 
 
 class EntryVm:
-    """One VM's beliefs, and its placement."""
+    """State of one VM: loads, cached parts and its placement."""
 
     def __init__(self, name):
         self.name = name
@@ -111,7 +116,7 @@
 
 
 class EnginePool:
-    """The simulation: engines, VMs and a heap of what happens next."""
+    """The simulation: engines, VMs and a heap of timed events."""
 
     def __init__(
         self,
@@ -121,9 +126,9 @@
         cost=None,
         memory=540_000,
         slots=64,
-        news_seconds=NEWS_SECONDS,
+        update_seconds=UPDATE_SECONDS,
     ):
-        self.news_seconds = news_seconds
+        self.update_seconds = update_seconds
         self.demand = DemandMeter()
         self.cost = cost or PrefillCost(0.01, 2e-5, 4e-10)
         self.memory = memory
@@ -132,18 +137,18 @@
         self.now = 0.0
         self.engines = {}
         self.vms = [EntryVm(f"vm{n}") for n in range(vms)]
-        for stage, count, share in (
+        for stage, count, speed_ratio in (
             (Stage.PREFILL, prefills, 1.0),
             (Stage.DECODE, decoders, IN_PLACE_SPEED_RATIO),
         ):
             for n in range(count):
                 name = f"{stage.value}{n}"
                 record = InstanceRecord(name, "llm", "h:1", "dc1", slots, False, stage)
-                self.engines[name] = Engine(self, Instance(record), share)
+                self.engines[name] = Engine(self, Instance(record), speed_ratio)
         self.jobs = []
 
     def at(self, moment, action):
-        """Let ``action`` happen at ``moment``."""
+        """Schedule ``action`` at ``moment``."""
         heapq.heappush(self.events, (moment, next(self.order), action))
 
     def instances(self, stage):
@@ -152,7 +157,7 @@
         return [i for i in engines if i.record.stage is stage]
 
     def run(self, arrivals, seconds):
-        """Play (moment, route, prompt) arrivals; return the jobs."""
+        """Simulate (moment, route, prompt) arrivals; return the jobs."""
         rng = random.Random(5)
         for number, (moment, route, prompt) in enumerate(arrivals):
             job = Job(f"r{number}", prompt, route, moment)
@@ -160,27 +165,27 @@
             vm = rng.choice(self.vms)
             self.at(moment, lambda job=job, vm=vm: self.arrive(job, vm))
         for n, vm in enumerate(self.vms):
-            start = n * self.news_seconds / len(self.vms)
-            self.at(start, lambda vm=vm: self.tell(vm))
+            start = n * self.update_seconds / len(self.vms)
+            self.at(start, lambda vm=vm: self.send_update(vm))
         while self.events and self.events[0][0] <= seconds:
             self.now, _, action = heapq.heappop(self.events)
             action()
         return self.jobs
 
-    def tell(self, vm):
-        """Let a VM's peers know what it has in flight and had read."""
+    def send_update(self, vm):
+        """Send a VM's loads and prefills to its peers, and schedule the next update."""
         vm.sequence += 1
-        news = vm.cache.take_updates()
+        updates = vm.cache.take_updates()
         report = PeerReport(
-            vm.sequence, self.now, vm.loads.own(), interval=self.news_seconds
+            vm.sequence, self.now, vm.loads.own(), interval=self.update_seconds
         )
         for peer in self.vms:
             if peer is vm:
                 continue
             peer.loads.receive(vm.name, report)
-            for engine, rows in news.items():
+            for engine, rows in updates.items():
                 peer.cache.apply_update(engine, rows, self.memory)
-        self.at(self.now + self.news_seconds, lambda: self.tell(vm))
+        self.at(self.now + self.update_seconds, lambda: self.send_update(vm))
 
     def known_to(self, vm):
         """Return the :class:`Pool` as a VM knows it."""
@@ -192,38 +197,39 @@
             vm.loads.total(self.now),
             self.cost,
             vm.cache,
-            busy=self.cost.seconds(demand.prefill_engine_work) / max(1, len(prefills)),
-            decoders_busy=0.1,
+            prefill_utilization=self.cost.seconds(demand.prefill_engine_work)
+            / max(1, len(prefills)),
+            decode_utilization=0.1,
             streams=demand.streams,
             report_delay=vm.loads.report_delay(self.now),
         )
 
     def arrive(self, job, vm):
-        """Plan a request as a VM does: refuse it, or send its prompt."""
+        """Plan a request as its VM does: refuse it, or send its prompt."""
         pool = self.known_to(vm)
         job.vm = vm
         job.plan = vm.placement.plan(
             job.prompt, job.route, pool, request_hash_fraction(job.name)
         )
-        patience, left = job.route.client_idle_timeout, job.route.timeout
-        if refusal.refuse(job.plan, patience, True, left) is not None:
+        idle_timeout, left = job.route.client_idle_timeout, job.route.timeout
+        if refusal.refuse(job.plan, idle_timeout, True, left) is not None:
             job.refused = True
             return
-        apart = job.plan.tokens if job.plan.prefill else 0.0
-        self.demand.record(Demand(streams=1.0, prefill_engine_work=apart), self.now)
-        reader = job.plan.prefill or job.plan.target
-        job.work = vm.loads.begin(reader.id, job.plan.tokens, job.plan.urgency)
-        self.engines[reader.id].take(job, self.now)
-        self.at(self.now + patience, lambda: self.leave(job))
+        work = job.plan.tokens if job.plan.prefill else 0.0
+        self.demand.record(Demand(streams=1.0, prefill_engine_work=work), self.now)
+        engine = job.plan.prefill or job.plan.target
+        job.work = vm.loads.begin(engine.id, job.plan.tokens, job.plan.urgency)
+        self.engines[engine.id].take(job, self.now)
+        self.at(self.now + idle_timeout, lambda: self.leave(job))
 
     def leave(self, job):
-        """The client leaves if nothing has come."""
+        """Let the client leave if no event has come."""
         if job.first_at is None:
             job.left = True
             job.work.end()
 
     def record_prefill(self, engine, job, now):
-        """A prompt was read: its stream begins, if its client is there."""
+        """Record a prefill, and begin the stream if the client hasn't left."""
         job.work.end()
         job.vm.cache.record_prefill(engine.instance.id, job.prompt, self.memory)
         if job.left:
@@ -231,21 +237,21 @@
         target = job.plan.target
         if job.plan.prefill:
             pool = self.known_to(job.vm)
-            drawn = request_hash_fraction(job.name)
+            fraction = request_hash_fraction(job.name)
             target = job.vm.placement.choose_decoder(
-                pool, job.prompt.tokens, job.plan.prefill, drawn
+                pool, job.prompt.tokens, job.plan.prefill, fraction
             )
         job.first_at = now + FIRST_EVENT_SECONDS
         stream = job.vm.loads.begin(target.id, 0)
         decoder = self.engines[target.id]
-        decoder.stream(1)
+        decoder.change_streams(1)
         seconds = job.prompt.max_output_tokens * TOKEN_SECONDS
         self.at(now + seconds, lambda: self.finish(stream, decoder))
 
     def finish(self, stream, decoder):
-        """A stream has ended."""
+        """End a stream."""
         stream.end()
-        decoder.stream(-1)
+        decoder.change_streams(-1)
 
 
 def served(jobs, chosen=lambda job: True):
--- a/tests/test_large_pool.py
+++ b/tests/test_large_pool.py
@@ -1,10 +1,9 @@
-"""What callers get when 195 VMs choose among 59 engines, from old counts.
+"""Latency when 195 VMs choose among 59 engines by counts that are half a second old.
 
-The load pattern is that of a large office: 60 letters a second of 12,000 tokens
-about a thousand documents, 60 questions and 135 checks of slips, on 29 engines that
-prefill and 30 that decode, of 12 places each: two fifths of what they can do.
-What a VM knows of the others is up to half a second old, and in that time they send
-more than a hundred requests.
+The simulated load consists of 60 letters a second, with 12,000 tokens about one of a
+thousand documents, 60 queries and 135 slip checks, which are short. 29 engines prefill
+and 30 decode, with 12 slots each; the load is two fifths of their capacity. The VMs
+send more than a hundred requests in half a second.
 """
 
 import random
@@ -17,13 +16,13 @@
 from mulberrydock.request import Kind, Prompt, PromptPart, Route, Split
 
 SECONDS = 8.0
-#: Places of one engine. Beyond them requests are preempted, and read again.
+#: Slots of one engine. Beyond them requests are preempted and prefilled again.
 SLOTS = 12
 VMS = 195
 PREFILLS, DECODERS = 29, 30
-#: Seconds between two messages of each VM: what two hops take in a large fleet.
-NEWS_SECONDS = 0.5
-#: As fast as the office's engines: 92,100 tokens a second.
+#: Seconds between two messages of each VM: the delay of two hops in a large fleet.
+UPDATE_SECONDS = 0.5
+#: Engines that prefill 92,100 tokens a second.
 COST = PrefillCost(0.01, 1 / 92_100, 3.2e-5 / 92_100)
 
 
@@ -46,8 +45,9 @@
 
 
 LETTER, QUERY, SLIP = route("l", 0.6, 2), route("q", 0.25, 1), route("s", 0.3, 0)
-#: Requests a second and output tokens of each; rules and documents that they share,
-#: and tokens of rules, document and own part (median, spread on a logarithmic scale).
+#: By route: requests a second, output tokens, number of rules and of documents that the
+#: requests share, and the tokens of the rules, the document and the request's own part
+#: (median, spread on a logarithmic scale).
 KINDS = {
     LETTER: (60, 400, 3, 1028, (512, 0.4), (4200, 0.6), (4000, 1.0)),
     QUERY: (58, 250, 39, 992, (119, 0.4), (70, 0.6), (450, 0.8)),
@@ -81,8 +81,8 @@
     return sorted(rows, key=lambda row: row[0])
 
 
-def play(seed):
-    """Play a few seconds; return the pool and its jobs."""
+def simulate(seed):
+    """Simulate a few seconds; return the pool and its jobs."""
     pool = EnginePool(
         PREFILLS,
         DECODERS,
@@ -90,22 +90,22 @@
         COST,
         400_000,
         slots=SLOTS,
-        news_seconds=NEWS_SECONDS,
+        update_seconds=UPDATE_SECONDS,
     )
     return pool, pool.run(arrivals(random.Random(seed)), SECONDS + 3)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_many_vms_do_not_all_choose_the_same_engine(seed):
-    """All VMs see the same decode engine as the freest, and none hears in time of
-    what the others send there: one stream in ten found no place on its engine, so
-    that another one was preempted, and its caller waited a second for a prompt that
-    was read again. With the sum of what is on its way known, the engines share it."""
-    pool, jobs = play(seed)
-    decoders = [e for e in pool.engines.values() if e.taken]
+    """Guards against VMs that all send to the same freest decode engine before their
+    sends are reported: one stream in ten had no free slot, another one was preempted,
+    and its client waited a second for the repeated prefill. The total of unreported
+    work has to be spread over the engines."""
+    pool, jobs = simulate(seed)
+    decoders = [e for e in pool.engines.values() if e.started]
     assert len(decoders) == DECODERS
-    beyond = sum(engine.beyond for engine in decoders)
-    assert beyond <= 0.01 * sum(engine.taken for engine in decoders)
+    beyond_slots = sum(engine.beyond_slots for engine in decoders)
+    assert beyond_slots <= 0.01 * sum(engine.started for engine in decoders)
     assert served(jobs) > 0.97
     assert in_time(jobs, lambda job: job.route is LETTER) >= 0.9
     assert in_time(jobs, lambda job: job.route is QUERY) >= 0.95
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waits", "unseen", "level"),
+    ("waits", "unreported", "level"),
     [
         ([], 1.0, 0.0),
         ([0.5], 0.0, 0.5),
@@ -124,7 +124,8 @@
         ([0.2, 0.0, 1.0], 3.0, 1.4),
     ],
 )
-def test_what_is_on_its_way_fills_the_freest_engines_first(waits, unseen, level):
-    """One engine is free, one has a little to do, one much. What others send
-    before it is heard of evens the first two out, and only then reaches the third."""
-    assert fill_level(waits, unseen) == pytest.approx(level)
+def test_unreported_work_fills_the_freest_engines_first(waits, unreported, level):
+    """Guards against unreported work that is added to every engine alike: with one
+    engine free, one little and one very busy, it fills up the first two, and only then
+    the third."""
+    assert fill_level(waits, unreported) == pytest.approx(level)
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""What a VM knows of its peers' work, and for how long."""
+"""Loads and suspicions that a VM takes over from its peers, and for how long."""
 
 import time
 
@@ -22,15 +22,14 @@
 
 
 def alone(tracker):
-    """Return the groups of a VM that knows no peer."""
+    """Return the groups of a VM without peers."""
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     return PeerGroups(membership, tracker, "dc1")
 
 
-def test_own_and_peers_work_add_up_until_reports_are_stale():
-    """A peer dies with requests in flight. Its last counts are added to our
-    own for a moment and then forgotten, so that its engine isn't avoided for
-    work that no one does any more."""
+def test_loads_of_own_and_peers_add_up_until_reports_are_stale():
+    """Guards against an engine that is avoided for the work of a dead peer: the peer's
+    last counts are added to the VM's own only until they are stale."""
     tracker = LoadTracker()
     work = tracker.begin("e1", 100)
     tracker.receive("entry-2", report(1, 10.0, {"e1": Load(2, (0, 500), 400)}))
@@ -42,13 +41,14 @@
     assert tracker.total(11.0) == {}
 
 
-@pytest.mark.parametrize(("sequence", "kept"), [(1, 5), (2, 5), (3, 7)])
-def test_datagrams_out_of_order(sequence, kept):
-    """Datagrams overtake each other. An older one changes nothing."""
+@pytest.mark.parametrize(("sequence", "running"), [(1, 5), (2, 5), (3, 7)])
+def test_datagrams_out_of_order(sequence, running):
+    """Guards against an older report that replaces a newer one, as datagrams overtake
+    each other."""
     tracker = LoadTracker()
     tracker.receive("entry-2", report(2, 1.0, {"e1": Load(5)}))
     tracker.receive("entry-2", report(sequence, 1.1, {"e1": Load(7)}))
-    assert tracker.total(1.2)["e1"].running == kept
+    assert tracker.total(1.2)["e1"].running == running
 
 
 @pytest.mark.parametrize(
@@ -63,9 +63,9 @@
     ],
 )
 def test_addresses_for_clients(heard, leaving, draining, expected):
-    """Clients ask where to connect while a VM is dead, leaves, or while this
-    VM hears nobody. Dead and leaving VMs are left out; hearing nobody is more
-    likely this VM's own network, so then the store's list counts."""
+    """Guards against clients that are sent to dead or leaving VMs. If no peer is
+    reachable, the fault is more likely in this VM's own network, so that the list in
+    the store counts."""
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     for number in (1, 2, 3):
         membership.peers[f"entry-{number}"] = Peer(f"a{number}", "dc1")
@@ -76,9 +76,9 @@
     assert directory.addresses(draining, 100.5) == expected
 
 
-def test_peer_whose_record_lapsed_but_is_heard_stays_listed():
-    """The store drops every record in an outage while all VMs live. Clients
-    are still sent to the VMs that are heard."""
+def test_reachable_peer_with_an_expired_record_stays_listed():
+    """Guards against a list without live VMs when an outage of the store drops every
+    record: clients are still sent to the reachable VMs."""
     membership = Membership(None, EntryVm("entry-1", "a1", "dc1"))
     membership.peers["entry-2"] = Peer("a2", "dc1")
     membership.begin_reload()
@@ -91,29 +91,31 @@
 @pytest.mark.parametrize(
     ("urgency", "ahead"), [(0, 100 + 4000), (1, 100 + 4000), (2, 5100), (5, 5100)]
 )
-def test_work_ahead_of_a_new_prompt(urgency, ahead):
-    """Prompts of several classes wait at an engine. A new one waits for those
-    that are as urgent, and for a less urgent one that may have been begun."""
+def test_tokens_ahead_of_a_new_prompt(urgency, ahead):
+    """Guards against estimates that ignore a less urgent prompt which the engine may
+    have begun, or that count all less urgent ones."""
     load = Load(4, (100, 0, 5000), 4000)
-    assert load.ahead(urgency) == ahead
+    assert load.tokens_ahead(urgency) == ahead
 
 
 def test_loads_survive_the_message_to_a_peer():
-    """A VM tells its peers what waits at an engine, by urgency; the peer must
-    read the same, or it sends short prompts behind long ones."""
-    tracker, peer_book = LoadTracker(), LoadTracker()
+    """Guards against a peer that decodes other loads by urgency than the VM sent, and
+    sends short prompts to an engine where long ones wait."""
+    tracker, peer_tracker = LoadTracker(), LoadTracker()
     tracker.begin("e1", 3000, 2)
     tracker.begin("e1", 700, 0)
     link = PeerLink("entry-1", tracker, alone(tracker), bool)
-    peer = PeerLink("entry-2", peer_book, alone(peer_book), bool)
+    peer = PeerLink("entry-2", peer_tracker, alone(peer_tracker), bool)
     peer.datagram_received(link.message(0.0), ("127.0.0.1", 1))
-    assert peer_book.reports["entry-1"].loads == {"e1": Load(2, (700, 0, 3000), 3000)}
+    assert peer_tracker.reports["entry-1"].loads == {
+        "e1": Load(2, (700, 0, 3000), 3000)
+    }
 
 
 @pytest.mark.parametrize("peers", [1, 8, 16, 79, 570])
 def test_messages_a_second_are_bounded(peers):
-    """A fleet grows. What one VM sends a second stays bounded, and a peer
-    still knows from the message itself when the next one is due."""
+    """Guards against messages a second that grow with the fleet. The message itself
+    states when the next one is due."""
     membership = Membership(None, EntryVm("entry-0", "a0", "dc1"))
     for number in range(1, peers + 1):
         peer = Peer(f"a{number}", "dc1", f"10.0.0.1:{number}")
@@ -124,12 +126,12 @@
 
 
 @pytest.mark.parametrize(
-    ("failed_at", "passed_over"), [(0, False), (1, False), (2, True), (3, True)]
+    ("failed_at", "avoided"), [(0, False), (1, False), (2, True), (3, True)]
 )
-def test_engine_that_failed_others_is_passed_over(failed_at, passed_over):
-    """Ten engines crash before a fleet of 195 VMs. A VM that has not met them yet
-    hears of two peers whose requests failed there, and sends none of its own; the
-    word of one may be that one's own trouble."""
+def test_engine_suspected_by_two_peers_is_avoided(failed_at, avoided):
+    """Guards against requests that every VM of a large fleet loses at crashed engines,
+    for example ten engines and 195 VMs, before it suspects them itself. A report of a
+    single peer may come from that peer's own trouble."""
     here = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     for number in (1, 2):
         record = InstanceRecord(f"e{number}", "app", "h:1", "dc1", 6, False)
@@ -151,5 +153,5 @@
         message = peer.message(time.monotonic())
         link.datagram_received(message, ("127.0.0.1", 1))
     now = time.monotonic()
-    sound = {i.id for i in here._healthy(here.instances.serving("app"), now)}
-    assert ("e1" not in sound) is passed_over
+    healthy = {i.id for i in here._healthy(here.instances.serving("app"), now)}
+    assert ("e1" not in healthy) is avoided
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""What VMs believe that engines keep of prompts."""
+"""Which parts of prompts VMs expect engines to have cached."""
 
 import random
 
@@ -9,7 +9,7 @@
 from mulberrydock.peer_groups import PeerGroups
 from mulberrydock.peer_loads import LoadTracker
 from mulberrydock.peers import PeerLink
-from mulberrydock.prefix_cache import KEPT_SHARE, PrefixCacheIndex
+from mulberrydock.prefix_cache import CACHE_SHARE, PrefixCacheIndex
 from mulberrydock.request import Prompt, PromptPart
 from mulberrydock.serve import EntryVm
 
@@ -17,11 +17,11 @@
 
 
 def link_of(name, estimates):
-    """Return the link of a VM that knows no peer."""
+    """Return the link of a VM without peers."""
     membership = Membership(None, EntryVm(name, "a1", "dc1"))
-    book = LoadTracker()
-    groups = PeerGroups(membership, book, "dc1")
-    return PeerLink(name, book, groups, bool, estimates)
+    tracker = LoadTracker()
+    groups = PeerGroups(membership, tracker, "dc1")
+    return PeerLink(name, tracker, groups, bool, estimates)
 
 
 def prompt(*parts):
@@ -41,7 +41,7 @@
         (about("doc1"), 13_000),
         (about("doc1", "other"), 10_000),
         (about("doc2"), 2000),
-        # Without the part before it, a part is of no use.
+        # Without the part before it, a cached part is of no use.
         (prompt(("new", 10), ("doc1", 8000), ("own", 3000)), 0),
         (
             prompt(
@@ -52,68 +52,70 @@
         (Prompt(500, 10), 0),
     ],
 )
-def test_leading_parts_that_were_read_are_cached(asked, cached):
-    """One prompt about a document was read by an engine. Others with the same
-    beginning need only the rest read there, and all of it elsewhere."""
-    book = PrefixCacheIndex()
-    book.record_prefill("e1", about("doc1"), CAPACITY)
-    assert book.cached_tokens("e1", asked) == cached
-    assert book.cached_tokens("e2", asked) == 0
-
-
-def test_parts_used_longest_ago_are_forgotten():
-    """More documents are read than an engine's memory holds. The ones used
-    last are believed to be there, the others not, and the book stays small."""
-    book = PrefixCacheIndex()
+def test_leading_parts_of_prefilled_prompts_are_cached(asked, cached):
+    """Guards against cached parts that are counted at the wrong engine or without the
+    parts before them."""
+    index = PrefixCacheIndex()
+    index.record_prefill("e1", about("doc1"), CAPACITY)
+    assert index.cached_tokens("e1", asked) == cached
+    assert index.cached_tokens("e2", asked) == 0
+
+
+def test_least_recently_used_parts_are_evicted():
+    """Guards against an index that grows without bound or counts documents that the
+    engine has evicted, when more is prefilled than its memory holds."""
+    index = PrefixCacheIndex()
     for number in range(200):
-        book.record_prefill("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
-    kept = [
-        n for n in range(200) if book.cached_tokens("e1", about(f"doc{n}", "x")) > 2000
+        index.record_prefill("e1", about(f"doc{number}", f"own{number}"), CAPACITY)
+    cached = [
+        n for n in range(200) if index.cached_tokens("e1", about(f"doc{n}", "x")) > 2000
     ]
-    assert kept == list(range(200 - len(kept), 200))
-    assert book.engines["e1"].tokens <= CAPACITY * KEPT_SHARE
-    assert len(book.engines["e1"].parts) < 30
+    assert cached == list(range(200 - len(cached), 200))
+    assert index.engines["e1"].tokens <= CAPACITY * CACHE_SHARE
+    assert len(index.engines["e1"].parts) < 30
 
 
-def test_a_document_in_use_outlasts_the_others():
-    """One document is asked for again and again while hundreds pass once."""
-    book = PrefixCacheIndex()
+def test_document_in_use_is_not_evicted():
+    """Guards against the eviction of a document that is requested again and again
+    while a hundred others are requested once."""
+    index = PrefixCacheIndex()
     for number in range(100):
-        book.record_prefill("e1", about("hot", f"a{number}"), CAPACITY)
-        book.record_prefill("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
-    assert book.cached_tokens("e1", about("hot", "x")) == 10_000
+        index.record_prefill("e1", about("hot", f"a{number}"), CAPACITY)
+        index.record_prefill("e1", about(f"cold{number}", f"b{number}"), CAPACITY)
+    assert index.cached_tokens("e1", about("hot", "x")) == 10_000
 
 
 def test_prompt_larger_than_the_memory():
-    """A prompt is larger than an engine's memory. The book neither grows
-    without bound nor loses its count."""
-    book = PrefixCacheIndex()
-    book.record_prefill("e1", prompt(("huge", CAPACITY * 3)), CAPACITY)
-    book.record_prefill("e1", about("doc1"), CAPACITY)
-    assert book.engines["e1"].tokens == 13_000
+    """Guards against a token count that stays too high after a prompt that is larger
+    than the engine's memory."""
+    index = PrefixCacheIndex()
+    index.record_prefill("e1", prompt(("huge", CAPACITY * 3)), CAPACITY)
+    index.record_prefill("e1", about("doc1"), CAPACITY)
+    assert index.engines["e1"].tokens == 13_000
 
 
-def test_news_of_an_engine_that_is_not_known_is_not_kept():
-    """Engines come and go for days, and a peer's late message names one that is
-    over. It isn't noted, or the book would grow with every engine there ever was."""
-    book = PrefixCacheIndex()
-    book.apply_update("gone@1", [(1, 10), (2, 20)], 0)
-    assert book.engines == {}
+def test_update_for_an_unknown_engine_is_not_stored():
+    """Guards against an index that grows with every engine there ever was: a peer's
+    late message may name one that is terminated."""
+    index = PrefixCacheIndex()
+    index.apply_update("gone@1", [(1, 10), (2, 20)], 0)
+    assert index.engines == {}
 
 
-def test_engine_that_is_gone_keeps_nothing():
-    """An engine is over, or has started again: its memory went with it."""
-    book = PrefixCacheIndex()
-    book.record_prefill("e1", about("doc1"), CAPACITY)
-    book.forget("e1")
-    assert book.cached_tokens("e1", about("doc1")) == 0
-    assert book.take_updates() == {}
+def test_terminated_engine_has_nothing_cached():
+    """Guards against cached parts of an engine that is terminated or has started again,
+    as its memory is lost."""
+    index = PrefixCacheIndex()
+    index.record_prefill("e1", about("doc1"), CAPACITY)
+    index.forget("e1")
+    assert index.cached_tokens("e1", about("doc1")) == 0
+    assert index.take_updates() == {}
 
 
 @pytest.mark.parametrize("lost", [False, True])
-def test_peers_hear_what_was_sent_where(lost):
-    """A VM sends a document to an engine. Its peers know it with the next
-    message; a message that is lost costs only that knowledge."""
+def test_peers_receive_prefills_once(lost):
+    """Guards against prefills that peers don't learn of, and against entries that every
+    message repeats; a lost message costs only its entries."""
     here, there = (FleetEstimates(lambda instance_id: CAPACITY) for _ in range(2))
     link = link_of("entry-1", here)
     peer = link_of("entry-2", there)
@@ -127,9 +129,9 @@
     assert len(again) < len(message)
 
 
-def test_what_a_vm_learnt_of_a_pool_reaches_its_peers():
-    """A VM has measured a pool. A peer that hasn't takes over the speed and adds
-    the demand to its own."""
+def test_estimates_of_a_pool_reach_peers():
+    """Guards against a VM that doesn't use what a peer measured: it takes over the
+    prefill cost and adds the demand to its own."""
     here, there = (FleetEstimates(lambda instance_id: CAPACITY) for _ in range(2))
     link = link_of("entry-1", here)
     peer = link_of("entry-2", there)
@@ -142,11 +144,11 @@
     here.record_demand("llm", about("doc1"), 5000, False, 4.0)
     for number in range(5):
         peer.datagram_received(link.message(4.0), ("127.0.0.1", 1))
-    heard = there.pool("llm")
+    received = there.pool("llm")
     fitted = here.pool("llm").cost_model.cost
     assert fitted.seconds(fitted.work(5000, 0)) == pytest.approx(0.2, rel=0.15)
-    assert heard.cost_model.cost.token == pytest.approx(fitted.token)
-    told = here.pool("llm").demand.own(4.0)
-    assert heard.demand.total(4.0).transferred_tokens == pytest.approx(
-        told.transferred_tokens, rel=1e-6
+    assert received.speed.cost.token == pytest.approx(fitted.token)
+    sent = here.pool("llm").demand.own(4.0)
+    assert received.demand.total(4.0).transferred_tokens == pytest.approx(
+        sent.moved, rel=1e-6
     )
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,7 +1,7 @@
 """What a fleet sends to an instance that declares a rate limit, in simulated time.
 
-The load pattern is that of an overloaded instance: more is asked of it than it takes,
-by 8 or by 195 VMs, each of which has another request for it at any moment.
+The instance is overloaded: 8 or 195 VMs, each of which always has another request for
+it, ask for more than it accepts.
 """
 
 import random
@@ -11,14 +11,14 @@
 
 from mulberrydock.rate_limits import CLEAR_ANSWERS, TAKEOVER_SECONDS, RateLimits
 
-#: Seconds from the first answer with it until it must be kept, those of a window, and
-#: the requests in it beyond one and a half times the limit.
+#: Seconds from the first answer with the limit until the fleet must keep to it, seconds
+#: of a window, and requests that it may contain beyond one and a half times the limit.
 CONTACT_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 SLACK = 5
 #: Seconds after a VM's first answer with the limit from which its requests count.
-TOLD_SECONDS = 0.5
-#: Seconds of one play, and requests a second for the instance at all VMs together.
+NOTICE_SECONDS = 0.5
+#: Seconds of one run, and requests a second for the instance at all VMs together.
 SECONDS = 14.0
 DEMAND = 60.0
 STEP_SECONDS = 0.1
@@ -28,11 +28,14 @@
 
 @attrs.define
 class LimitedInstance:
-    """Declares its limit from the first request on; ``told`` is when each VM first got
-    an answer of it, ``counted`` are the moments of requests from VMs told before."""
+    """Declares its limit from the first request on.
+
+    ``noticed_at`` is when each VM first got an answer with the limit, ``arrived`` are
+    the times of all requests, ``counted`` of those from VMs that know the limit.
+    """
 
     rate: float
-    told: dict = attrs.field(factory=dict)
+    noticed_at: dict = attrs.field(factory=dict)
     counted: list = attrs.field(factory=list)
     arrived: list = attrs.field(factory=list)
     first_at: float | None = None
@@ -41,14 +44,14 @@
         """Answer one request of a VM."""
         if self.first_at is None:
             self.first_at = now
-        told = now - self.told.setdefault(vm.name, now) >= TOLD_SECONDS
-        if told and now - self.first_at >= CONTACT_SECONDS:
+        noticed = now - self.noticed_at.setdefault(vm.name, now) >= NOTICE_SECONDS
+        if noticed and now - self.first_at >= CONTACT_SECONDS:
             self.counted.append(now)
         self.arrived.append(now)
         vm.link.limits.observe("e1", self.rate, now, now)
 
-    def most(self):
-        """Return the most counted requests of any window."""
+    def max_in_window(self):
+        """Return the maximum number of counted requests in any window."""
         counts = (
             sum(start <= at < start + WINDOW_SECONDS for at in self.counted)
             for start in self.counted
@@ -56,8 +59,8 @@
         return max(counts, default=0)
 
 
-def play(fleet, instance, seconds, rng, share=1.0):
-    """Let all VMs send what they may, each its part of the demand."""
+def simulate(fleet, instance, seconds, rng, share=1.0):
+    """Simulate all VMs, each of which sends its part of the demand as permitted."""
     end = fleet.now + seconds
     while fleet.now < end:
         fleet.run(STEP_SECONDS)
@@ -71,16 +74,16 @@
 
 
 def nothing(fleet):
-    """Nothing happens."""
+    """Change nothing."""
 
 
 def senders_die(fleet):
-    """The VMs that send lose power; their records stay for a while."""
+    """Stop the VMs that send; their records stay for a while."""
     fleet.dead |= {name for name, vm in fleet.vms.items() if vm.link.limits.shares}
 
 
 def senders_leave(fleet):
-    """The VMs that send are gone, as every VM sees."""
+    """Stop the VMs that send and remove their records."""
     senders_die(fleet)
     for vm in fleet.vms.values():
         for name in fleet.dead:
@@ -88,19 +91,19 @@
 
 
 def data_centres_are_cut(fleet):
-    """No datagram goes from one data centre to another any more."""
+    """Drop all datagrams between data centres."""
     names = {vm.data_centre for vm in fleet.vms.values()}
     fleet.cut |= {frozenset((a, b)) for a in names for b in names if a != b}
 
 
 def records_lapse(fleet):
-    """The store loses the record of every VM."""
+    """Remove the records of all VMs, as if the store lost them."""
     for vm in fleet.vms.values():
         vm.membership.begin_reload()
 
 
 def vms_start_again(fleet):
-    """A quarter of the VMs start again: they know no limit, and at first no VM."""
+    """Restart a quarter of the VMs: they know no limit and at first no other VM."""
     names = sorted(fleet.vms)[::4]
     for name in names:
         known = fleet.vms[name].membership.peers
@@ -108,7 +111,7 @@
         fleet.vms[name].membership.peers.update(known)
 
 
-SMALL_PLAYS = [
+SMALL_CASES = [
     pytest.param(SMALL, rate, event, id=f"8-vms-{rate}-{event.__name__}")
     for rate in (2.3, 0.0, 12.0)
     for event in (
@@ -120,43 +123,44 @@
         vms_start_again,
     )
 ]
-LARGE_PLAYS = [
+LARGE_CASES = [
     pytest.param(LARGE, 2.3, event, id=f"195-vms-2.3-{event.__name__}")
     for event in (nothing, records_lapse, vms_start_again)
 ]
 
 
-# Guards against a limit that is kept by each VM alone, that is shared out in parts too
-# many to keep it, or that is exceeded while VMs come and go.
-@pytest.mark.parametrize(("sizes", "rate", "event"), SMALL_PLAYS + LARGE_PLAYS)
+# Guards against a limit that each VM keeps for itself alone, that is divided into too
+# many shares to be kept, or that is exceeded while VMs start and leave.
+@pytest.mark.parametrize(("sizes", "rate", "event"), SMALL_CASES + LARGE_CASES)
 def test_fleet_keeps_to_a_limit(peer_fleet, sizes, rate, event):
     fleet, rng, instance = peer_fleet(**sizes), random.Random(3), LimitedInstance(rate)
-    play(fleet, instance, SECONDS / 2, rng)
+    simulate(fleet, instance, SECONDS / 2, rng)
     event(fleet)
-    play(fleet, instance, SECONDS / 2, rng)
-    assert instance.most() <= 1.5 * rate * WINDOW_SECONDS + SLACK
+    simulate(fleet, instance, SECONDS / 2, rng)
+    assert instance.max_in_window() <= 1.5 * rate * WINDOW_SECONDS + SLACK
 
 
-# Guards against a limited instance that nobody uses, as the few that may don't know.
+# Guards against a limited instance that gets no requests, as the few senders don't know
+# that they are senders.
 @pytest.mark.parametrize("event", [nothing, senders_leave, vms_start_again])
-def test_what_an_instance_takes_is_used(peer_fleet, event):
+def test_fleet_uses_what_a_limited_instance_accepts(peer_fleet, event):
     fleet, rng, instance = peer_fleet(**SMALL), random.Random(4), LimitedInstance(2.3)
-    play(fleet, instance, SECONDS / 2, rng)
+    simulate(fleet, instance, SECONDS / 2, rng)
     event(fleet)
-    play(fleet, instance, SECONDS / 2, rng)
+    simulate(fleet, instance, SECONDS / 2, rng)
     late = [at for at in instance.arrived if at > fleet.now - WINDOW_SECONDS]
     assert len(late) >= instance.rate * WINDOW_SECONDS / 2
 
 
-# Guards against a limit that is believed for ever, or that one old answer ends.
+# Guards against a limit that never ends at some VM, or that one old answer ends.
 @pytest.mark.parametrize("sizes", [SMALL, LARGE], ids=["8-vms", "195-vms"])
-def test_limit_ends_for_all_when_the_instance_declares_none(peer_fleet, sizes):
+def test_limit_ends_at_all_vms_when_the_instance_declares_none(peer_fleet, sizes):
     fleet, rng, instance = peer_fleet(**sizes), random.Random(5), LimitedInstance(2.3)
-    play(fleet, instance, SECONDS / 2, rng)
+    simulate(fleet, instance, SECONDS / 2, rng)
     instance.rate = None
-    play(fleet, instance, SECONDS / 2, rng)
+    simulate(fleet, instance, SECONDS / 2, rng)
     limits = [vm.link.limits for vm in fleet.vms.values()]
-    assert all(known.permits("e1", fleet.now) for known in limits)
+    assert all(limit.permits("e1", fleet.now) for limit in limits)
 
 
 @pytest.mark.parametrize(
@@ -170,16 +174,18 @@
         ([(None, 0.0, 1.0)], False),
     ],
 )
-def test_answers_that_show_a_limit_and_its_end(answers, limited):
-    """Requests overlap: an answer to one that was sent before says nothing."""
+def test_answers_that_declare_a_limit_and_its_end(answers, limited):
+    """Guards against a limit that is ended by the answer to a request which was sent
+    before the limit was declared, as requests overlap."""
     limits = RateLimits("other", lambda now: frozenset(("entry-1",)))
     for rate, sent_at, now in answers:
         limits.observe("e1", rate, sent_at, now)
     assert limits.permits("e1", 3.1) is not limited
 
 
-def test_new_sender_waits_until_the_former_one_knows():
-    """A VM finds itself the only one for a moment, as it reads the store anew."""
+def test_new_sender_waits_until_the_former_one_stops():
+    """Guards against two senders for one share: a VM that reads the store anew seems to
+    be the only one for a moment."""
     limits = RateLimits("entry-1")
     limits.observe("e1", 2.0, 0.0, 0.0)
     assert not limits.permits("e1", 0.1)
@@ -188,19 +194,20 @@
     assert not limits.permits("e1", 0.2 + TAKEOVER_SECONDS)
 
 
-def test_limit_of_an_instance_that_is_gone_is_not_heard_again():
-    """VMs learn of an instance's end at different moments, and tell what they know."""
-    gone = set()
-    limits = RateLimits("entry-1", is_known=lambda instance: instance not in gone)
+def test_limit_of_a_terminated_instance_is_not_restored_by_peers():
+    """Guards against VMs that send each other the limit of a terminated instance for
+    ever, as they learn of its end at different times."""
+    terminated = set()
+    limits = RateLimits("entry-1", is_known=lambda instance: instance not in terminated)
     limits.observe("e1", 2.0, 0.0, 0.0)
-    gone.add("e1")
+    terminated.add("e1")
     limits.forget("e1")
     limits.apply_update("e1", 2.0, 0.5, 1.0)
     assert limits.updates(1.0, True) == []
 
 
-# Guards against an instance that is never used again, as its bucket went on paying for
-# requests while it had no limit.
+# Guards against an instance that is never used again because its token bucket was
+# charged for requests while it had no limit.
 def test_requests_between_two_limits_are_not_counted():
     limits = RateLimits("entry-1")
     limits.observe("e1", 2.0, 0.0, 0.0)
@@ -215,8 +222,8 @@
     assert limits.permits("e1", 6.0 + TAKEOVER_SECONDS)
 
 
-# Guards against a VM that leaves and goes on sending beside the one in its place.
-def test_vm_that_leaves_sends_no_more():
+# Guards against a leaving VM that goes on sending while another one takes over.
+def test_leaving_vm_stops_sending():
     members = {"entry-1"}
     limits = RateLimits("entry-1", lambda now: frozenset(members))
     limits.observe("e1", 2.0, 0.0, 0.0)
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -1,4 +1,4 @@
-"""Who is refused at once under a burst, and when clients come back."""
+"""Which requests are refused at once under overload, and when clients should retry."""
 
 import attrs
 import pytest
@@ -15,42 +15,42 @@
 
 
 @pytest.mark.parametrize(
-    ("wait", "reading", "left", "seconds"),
+    ("wait", "prefill_seconds", "left", "seconds"),
     [
-        # In time, or perhaps in time: waits are rarely over twice the estimate.
+        # In time, or perhaps in time: waits rarely exceed twice the estimate.
         (0.3, 0.1, 10.0, None),
         (4.7, 0.1, 10.0, None),
-        # Its client leaves after 2.4 s: it comes back when the queue is short,
-        # but no later than a client still does.
+        # Its client times out after 2.4 s: it should retry when the queue is short, but
+        # no later than its deadline allows.
         (5.0, 0.1, 10.0, 3.0),
         (5.0, 0.1, 20.0, 3.8),
-        # Late by its own length: another time is no better.
+        # Late because of its own prefill time: a retry is no better.
         (9.0, 6.0, 10.0, None),
-        # Little time left: patience can't be longer than that.
+        # Little time left, less than the client's idle timeout.
         (1.1, 0.1, 0.5, 0.15),
     ],
 )
-def test_stream_is_refused_when_its_client_would_have_left(
-    wait, reading, left, seconds
+def test_stream_is_refused_if_its_client_would_time_out(
+    wait, prefill_seconds, left, seconds
 ):
-    """Three letters of 50,000 tokens wait at the last prefill engine. The next
-    one would be read after its client has left; told so at once, the client
-    comes back to a shorter queue."""
-    plan = Plan(None, None, 0, wait, reading)
+    """Guards against streams that wait until their clients time out, for example behind
+    three prompts of 50,000 tokens at the only prefill engine. Refused at once, they are
+    retried when the queue is shorter."""
+    plan = Plan(None, None, 0, wait, prefill_seconds)
     refused = refusal.refuse(plan, 2.4, False, left)
     assert (refused and refused.retry_after) == pytest.approx(seconds)
 
 
-# Guards against more streams than decode engines have places for: all of them are slow
+# Guards against more streams than the decode engines have slots: all of them slow down
 # then, and the longest answers are cut at their deadline.
 @pytest.mark.parametrize(
-    ("crowded", "most_urgent", "refused"),
+    ("no_free_slot", "most_urgent", "refused"),
     [(False, False, False), (True, False, True), (True, True, False)],
 )
-def test_streams_without_a_place_are_refused_but_the_most_urgent(
-    crowded, most_urgent, refused
+def test_without_a_free_slot_all_but_the_most_urgent_streams_are_refused(
+    no_free_slot, most_urgent, refused
 ):
-    plan = Plan(None, None, 0, 0.3, 0.1, crowded=crowded)
+    plan = Plan(None, None, 0, 0.3, 0.1, no_free_slot=no_free_slot)
     answer = refusal.refuse(plan, 2.4, most_urgent, 10.0)
     assert (answer is not None) is refused
 
@@ -65,10 +65,9 @@
         (False, -1.0, 0.0),
     ],
 )
-def test_time_to_come_back(found, left, seconds):
-    """The last decode engine leaves and another is changed to take its place,
-    which takes 3 s. A client that comes back after half a second is refused
-    again and gives up."""
+def test_retry_time_without_an_instance_covers_a_stage_change(found, left, seconds):
+    """Guards against retries after half a second while another engine replaces the last
+    decode engine, which takes 3 s: the client is refused again and gives up."""
     assert refusal.retry_after(found, left) == pytest.approx(seconds)
 
 
@@ -77,7 +76,7 @@
     [(0, "llm", True), (1, "llm", False), (1, "other", True)],
 )
 def test_most_urgent_route_of_a_service(priority, service, expected):
-    """Urgency is compared among the routes of one service only."""
+    """Guards against a route that is compared with the routes of other services."""
     fleet = FleetView("dc1", None, lambda: 1, lambda instance_id: None)
     fleet.routes.config = RoutingConfig(1, ROUTES, {}, None)
     route = attrs.evolve(URGENT, priority=priority)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Decisions of routing, admission and retries, as tables over the present time."""
+"""Decisions about routing, admission and retries at given times."""
 
 import collections
 
@@ -29,11 +29,11 @@
     [
         # An idle engine only prefills the prompt.
         ({}, Work(500, 10), 0.0, 0, 0.5),
-        # The reported backlog goes first, less what was done since.
+        # The reported backlog goes first, less the work done since the report.
         ({"backlog_prompt_tokens": 1000}, Work(500, 10), 0.0, 0, 1.5),
         ({"backlog_prompt_tokens": 1000}, Work(500, 10), 0.4, 0, 1.1),
-        # Work sent since the report counts, and the other entry (2 here) is
-        # taken to send at this one's average rate, 500 tokens in 5 seconds.
+        # Work sent since the report counts, and the other one of 2 entries is assumed
+        # to send at this one's average rate, 500 tokens in 5 seconds.
         ({}, Work(500, 10), 0.1, 1, 0.5 + 0.5 + 0.1 * 0.1 - 0.1),
         # A decode engine prefills at half the speed.
         ({"role": "decode"}, Work(500, 10), 0.0, 0, 1.0),
@@ -45,7 +45,7 @@
             0,
             100 * 0.015 / 4,
         ),
-        # A report too old says nothing about the backlog.
+        # The backlog of a stale report is ignored.
         ({"backlog_prompt_tokens": 9000}, Work(500, 10), 60.0, 0, 0.5),
         # Without a fresh report, only what was sent in the last second counts.
         ({"taken_at": -60.0}, Work(500, 10), 0.2, 1, 1.0),
@@ -71,9 +71,10 @@
         ({"role": ("a", "prefill")}, "b"),
         ({"tried": {"a", "b"}}, None),
         ({"leaving": ["a", "b"]}, None),
-        # A report of being away lags; a failure was just seen.
+        # An unavailable engine is preferred to a failed one: its report may lag, while
+        # the failure was just seen.
         ({"failed": "a", "unavailable": "b"}, "b"),
-        # A failed engine is still better than none.
+        # A failed engine is preferred to none.
         ({"failed": "a", "tried": {"b"}}, "a"),
     ],
 )
@@ -85,8 +86,8 @@
     if "failed" in changes:
         router.record_failure(router.upstreams[changes["failed"]], 0.0)
     if "unavailable" in changes:
-        away = router.upstreams[changes["unavailable"]]
-        away.report = attrs.evolve(away.report, available=False)
+        engine = router.upstreams[changes["unavailable"]]
+        engine.report = attrs.evolve(engine.report, available=False)
     if "role" in changes:
         name, role = changes["role"]
         router.upstreams[name].report = LoadReport(0.0, role=role)
@@ -94,10 +95,10 @@
     assert (chosen.name if chosen else None) == expected
 
 
-def test_request_in_flight_through_a_new_version_is_counted_out():
-    # A configuration arrives while a request is in flight. When the request
-    # ends it must be counted out of the engine that the router still uses,
-    # or the engine looks busy for ever.
+def test_request_that_ends_after_a_configuration_change_is_not_in_flight():
+    # Guards against an engine that seems busy for ever: a configuration arrives while a
+    # request is in flight, and the end of the request must be counted at the engine
+    # object that the router still uses.
     router = Router()
     router.update([_engine("a")], [])
     engine = router.choose("m", set(), Work(), 0.0)
@@ -115,7 +116,7 @@
     assert POLICIES[policy]().pick(candidates, work, 0.0) in candidates
 
 
-def test_ring_keeps_prefixes_on_their_owners_until_they_are_overloaded():
+def test_ring_sends_prefixes_to_their_owners_unless_these_are_overloaded():
     engines = [_engine(n) for n in "abcde"]
     policy = RingPlacement(seed=0)
     picks = collections.Counter()
@@ -142,7 +143,7 @@
     assert all(before[k] == "e" for k in moved)
 
 
-def test_cache_tracking_prefers_the_longest_known_prefix():
+def test_cache_tracking_prefers_the_longest_cached_prefix():
     tokens = [f"t{i}" for i in range(160)]
     blocks = block_hashes(tokens)
     policy = CacheTracking()
@@ -160,7 +161,7 @@
 @pytest.mark.parametrize(
     "rank, estimate, left, admitted, retry_after",
     [
-        # The first class is refused only when it is hopeless.
+        # The first class is refused only if it clearly can't meet the deadline.
         (0, 2.9, 2.0, True, 0),
         (0, 3.1, 2.0, False, 1),
         # Lower classes are refused first.
@@ -177,7 +178,7 @@
     assert (decision.admitted, decision.retry_after) == (admitted, retry_after)
 
 
-def test_admission_learns_each_rank_s_ratio_of_observed_to_estimated_waits():
+def test_admission_corrects_estimated_waits_for_each_class_rank():
     admission = Admission()
     first, last = (
         PriorityClass(name=n, rank=r, deadline_seconds=2.0)
@@ -213,7 +214,7 @@
     assert len(prompt_tokens(body)) == tokens
 
 
-def test_made_up_tenants_share_one_series():
+def test_tenants_beyond_the_maximum_share_one_series():
     metrics = EntryMetrics()
     labels = [metrics.tenant_label(f"t{i}") for i in range(MAX_TENANT_LABELS + 5)]
     assert labels[MAX_TENANT_LABELS:] == [OTHER_TENANTS_LABEL] * 5
