--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,17 +1,17 @@
-"""Which engine of a pool changes its stage, and when."""
+"""Which engine of a pool changes its stage, and when it does."""
 
 import pytest
 
 from mulberrydock.instances import Instance, InstanceRecord, Stage
 from mulberrydock.peer_loads import Load
 from mulberrydock.stages import (
-    FEW_DECODERS_SECONDS,
-    MISSING_SECONDS,
-    NOTICED_SECONDS,
+    ANNOUNCED_LEAVE_SECONDS,
+    DECODER_SHORTAGE_SECONDS,
+    MISSING_STAGE_SECONDS,
+    ORDER_RETRY_SECONDS,
     ORDER_SETTLE_SECONDS,
     PREFILL_SHORTAGE_SECONDS,
     REFUSED_SETTLE_SECONDS,
-    REPEAT_SECONDS,
     UNANSWERED_SETTLE_SECONDS,
     StageNeeds,
     StagePlanner,
@@ -20,12 +20,12 @@
     sustainable_streams,
 )
 
-#: Needs under which no stage of five engines is short.
-CALM = StageNeeds(1.5, 0.2)
-#: Needs under which the prefill engines are short, however many there are.
-HEAVY = StageNeeds(50.0, 0.2)
-#: Answers of which three decode engines have too many.
-GROWN = StageNeeds(1.0, 2.5)
+#: Needs that overload no stage of five engines.
+LIGHT = StageNeeds(1.5, 0.2)
+#: Needs that overload the prefill engines, however many there are.
+PREFILL_HEAVY = StageNeeds(50.0, 0.2)
+#: Needs that overload three decode engines.
+DECODE_HEAVY = StageNeeds(1.0, 2.5)
 
 P, D = Stage.PREFILL, Stage.DECODE
 
@@ -53,78 +53,78 @@
         (59, 12, 29),
     ],
 )
-def test_pool_before_any_request(engines, slots, prefill):
-    """A pool starts, and nobody has asked anything yet. Most of it prefills, half
-    where engines have few places for answers, and engines that decode are never
-    fewer than their loss allows."""
+def test_stages_before_any_request(engines, slots, prefill):
+    """Guards against a pool that starts with too few prefill engines, or with so few
+    decode engines that none is left after a loss. Most engines prefill, half of them
+    where engines have few slots."""
     assert idle_prefills(engines, slots) == prefill
 
 
 @pytest.mark.parametrize(
     ("prefills", "decoders", "needs", "wanted"),
     [
-        # Nothing is short.
-        (2, 3, CALM, 2),
-        (3, 2, CALM, 3),
+        # No stage is overloaded.
+        (2, 3, LIGHT, 2),
+        (3, 2, LIGHT, 3),
         (6, 3, StageNeeds(4.0, 0.5), 6),
-        # Long prompts: all that can be spared prefills, one after the other.
+        # Long prompts: all engines that can be spared prefill, one after the other.
         (2, 3, StageNeeds(3.3, 0.2), 3),
         (6, 3, StageNeeds(8.0, 0.5), 7),
-        (7, 2, HEAVY, 7),
-        # Long answers: engines go back to decoding, and none is taken from it.
+        (7, 2, PREFILL_HEAVY, 7),
+        # Long answers: engines go back to decoding, and no decode engine is taken.
         (7, 2, StageNeeds(2.0, 1.9), 6),
         (6, 3, StageNeeds(50.0, 2.0), 6),
-        # Both stages are short: what is taken from reading would be missed more.
+        # Both stages are overloaded: an engine taken from prefill would cost more.
         (1, 2, StageNeeds(2.0, 1.7), 1),
         (2, 2, StageNeeds(3.0, 1.7), 2),
         (2, 2, StageNeeds(0.6, 1.9), 1),
-        # The last but one decode engine is gone.
-        (3, 1, CALM, 2),
-        (2, 1, CALM, 1),
+        # Only one decode engine is left.
+        (3, 1, LIGHT, 2),
+        (2, 1, LIGHT, 1),
         # A stage is missing.
-        (0, 5, CALM, 1),
-        (5, 0, CALM, 3),
-        (0, 1, HEAVY, 0),
-        (1, 0, HEAVY, 0),
-        (0, 0, HEAVY, 0),
-        (1, 1, HEAVY, 1),
-        # A large pool: one engine more or less is hardly missed while it changes.
+        (0, 5, LIGHT, 1),
+        (5, 0, LIGHT, 3),
+        (0, 1, PREFILL_HEAVY, 0),
+        (1, 0, PREFILL_HEAVY, 0),
+        (0, 0, PREFILL_HEAVY, 0),
+        (1, 1, PREFILL_HEAVY, 1),
+        # A large pool: one engine more or less hardly matters while it changes.
         (14, 45, StageNeeds(11.7, 21.0), 15),
         (22, 37, StageNeeds(11.7, 21.0), 22),
         (39, 20, StageNeeds(11.7, 21.0), 38),
     ],
 )
-def test_stages_follow_the_measured_work(prefills, decoders, needs, wanted):
-    """The mix shifts between long prompts and long answers. The stage that is
-    short gets an engine if the other one can spare it; otherwise a change, which
-    darkens its engine for seconds, isn't worth it."""
+def test_stages_follow_the_measured_needs(prefills, decoders, needs, wanted):
+    """Guards against a stage that stays overloaded while the other one could spare an
+    engine, and against any other change, as it makes its engine unavailable for
+    seconds."""
     assert prefills_wanted(prefills, decoders, needs, 64) == wanted
 
 
 @pytest.mark.parametrize(
     ("stages", "needs", "seconds", "changed"),
     [
-        ((P, P, D, D, D), CALM, 60.0, None),
-        ((D, D, D), CALM, MISSING_SECONDS / 2, None),
-        ((D, D, D), CALM, MISSING_SECONDS, ("e1", P)),
-        ((P, P, P), CALM, MISSING_SECONDS, ("e1", D)),
-        ((P, D, D, D, D), HEAVY, PREFILL_SHORTAGE_SECONDS / 2, None),
-        ((P, D, D, D, D), HEAVY, PREFILL_SHORTAGE_SECONDS, ("e1", P)),
-        ((P, P, P, D), CALM, FEW_DECODERS_SECONDS / 2, None),
-        ((P, P, P, D), CALM, FEW_DECODERS_SECONDS, ("e1", D)),
-        # Answers have grown: a small pool waits longer than a large one.
-        ((P, P, P, D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS, None),
-        ((P, P, P, D, D, D), GROWN, FEW_DECODERS_SECONDS, ("e1", D)),
-        ((P,) * 17 + (D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS / 2, None),
-        ((P,) * 17 + (D, D, D), GROWN, PREFILL_SHORTAGE_SECONDS, ("e1", D)),
-        ((D,), HEAVY, 60.0, None),
+        ((P, P, D, D, D), LIGHT, 60.0, None),
+        ((D, D, D), LIGHT, MISSING_STAGE_SECONDS / 2, None),
+        ((D, D, D), LIGHT, MISSING_STAGE_SECONDS, ("e1", P)),
+        ((P, P, P), LIGHT, MISSING_STAGE_SECONDS, ("e1", D)),
+        ((P, D, D, D, D), PREFILL_HEAVY, PREFILL_SHORTAGE_SECONDS / 2, None),
+        ((P, D, D, D, D), PREFILL_HEAVY, PREFILL_SHORTAGE_SECONDS, ("e1", P)),
+        ((P, P, P, D), LIGHT, DECODER_SHORTAGE_SECONDS / 2, None),
+        ((P, P, P, D), LIGHT, DECODER_SHORTAGE_SECONDS, ("e1", D)),
+        # More decode work: a small pool waits longer than a large one.
+        ((P, P, P, D, D, D), DECODE_HEAVY, PREFILL_SHORTAGE_SECONDS, None),
+        ((P, P, P, D, D, D), DECODE_HEAVY, DECODER_SHORTAGE_SECONDS, ("e1", D)),
+        ((P,) * 17 + (D, D, D), DECODE_HEAVY, PREFILL_SHORTAGE_SECONDS / 2, None),
+        ((P,) * 17 + (D, D, D), DECODE_HEAVY, PREFILL_SHORTAGE_SECONDS, ("e1", D)),
+        ((D,), PREFILL_HEAVY, 60.0, None),
         ((D, D, D, D, P), None, PREFILL_SHORTAGE_SECONDS, ("e1", P)),
     ],
 )
-def test_change_after_patience(stages, needs, seconds, changed):
-    """Engines leave a pool, or the mix shifts. A whole stage that is missing is
-    mended at once, any other want only when it lasts, by the engine with the
-    least work: crashed engines come back in their old stage."""
+def test_change_only_after_the_imbalance_lasts(stages, needs, seconds, changed):
+    """Guards against changes for a short imbalance, as crashed engines come back in
+    their old stage, and against waiting while a whole stage is missing. The engine with
+    the least work changes."""
     engines = pool(*stages)
     loads = {e.id: Load(running=5) for e in engines if e.id != "e1"}
     planner = StagePlanner()
@@ -133,43 +133,45 @@
     assert (change and (change.instance.id, change.stage)) == changed
 
 
-@pytest.mark.parametrize("seconds", [PREFILL_SHORTAGE_SECONDS, FEW_DECODERS_SECONDS])
-def test_crashed_decode_engine_is_waited_for(seconds):
-    """A decode engine of a large pool crashes while many streams run. It is back in
-    its stage within seconds; a change of another one would take as long, and once
-    more back."""
+@pytest.mark.parametrize(
+    "seconds", [PREFILL_SHORTAGE_SECONDS, DECODER_SHORTAGE_SECONDS]
+)
+def test_crashed_decode_engine_is_not_replaced_at_once(seconds):
+    """Guards against a change of another engine after a crash: the crashed decode
+    engine of a large pool is back in its stage within seconds, while the change takes
+    as long and has to be reversed."""
     planner = StagePlanner()
     stages = [*[P] * 17, D, D, D]
-    planner.decide(pool(*stages, D), False, {}, GROWN, 0.0)
-    assert planner.decide(pool(*stages), False, {}, GROWN, 1.0) is None
-    change = planner.decide(pool(*stages), False, {}, GROWN, 1.0 + seconds)
-    assert (change is not None) is (seconds >= FEW_DECODERS_SECONDS)
+    planner.decide(pool(*stages, D), False, {}, DECODE_HEAVY, 0.0)
+    assert planner.decide(pool(*stages), False, {}, DECODE_HEAVY, 1.0) is None
+    change = planner.decide(pool(*stages), False, {}, DECODE_HEAVY, 1.0 + seconds)
+    assert (change is not None) is (seconds >= DECODER_SHORTAGE_SECONDS)
 
 
 @pytest.mark.parametrize(
-    ("slots", "bearable"), [(0, 0.0), (1, 0.17), (6, 2.71), (12, 6.79), (64, 49.88)]
+    ("slots", "sustainable"), [(0, 0.0), (1, 0.17), (6, 2.71), (12, 6.79), (64, 49.88)]
 )
-def test_engine_with_few_places_bears_a_smaller_share(slots, bearable):
-    """Streams come at random. An engine of 12 places that has nine of them on
-    average is full at every moment or other, and preempts; one of 64 is not."""
-    assert sustainable_streams(slots) == pytest.approx(bearable, abs=0.01)
+def test_engine_with_few_slots_sustains_a_smaller_share_of_them(slots, sustainable):
+    """Guards against small engines that preempt streams: as streams arrive at random,
+    an engine of 12 slots with nine streams on average is often full, while one of 64
+    slots at the same share is not."""
+    assert sustainable_streams(slots) == pytest.approx(sustainable, abs=0.01)
 
 
 @pytest.mark.parametrize(
     ("left_at", "seconds", "changed"),
     [
-        (5.0, NOTICED_SECONDS / 2, False),
-        (5.0, NOTICED_SECONDS, True),
-        # The notice was about an engine that left long ago.
-        (1.0, NOTICED_SECONDS, False),
+        (5.0, ANNOUNCED_LEAVE_SECONDS / 2, False),
+        (5.0, ANNOUNCED_LEAVE_SECONDS, True),
+        # The announcement was of an engine that left long ago.
+        (1.0, ANNOUNCED_LEAVE_SECONDS, False),
         (1.0, PREFILL_SHORTAGE_SECONDS, True),
     ],
 )
-def test_pool_whose_engine_gave_notice_is_mended_at_once(left_at, seconds, changed):
-    """One of two prefill engines drains for good. The letters wait at the
-    other one for as long as nothing is ordered; clients leave after 2.4 s. An
-    engine that said that it leaves won't be back, so there is nothing to wait
-    for, unlike after a crash."""
+def test_engine_that_announced_its_leave_is_replaced_at_once(left_at, seconds, changed):
+    """Guards against waiting for an engine that won't be back: one of two prefill
+    engines announces that it leaves, the prompts wait at the other one, and clients
+    time out after 2.4 s."""
     planner = StagePlanner()
     needs = StageNeeds(2.4, 0.2)
     whole, short = pool(P, P, D, D, D), pool(P, D, D, D)
@@ -183,51 +185,53 @@
 @pytest.mark.parametrize(
     ("stages", "seconds", "changed"),
     [
-        ((P, P, P, D), NOTICED_SECONDS, True),
-        # Two decode engines are left: enough for the loss of another one.
-        ((P, P, P, D, D), FEW_DECODERS_SECONDS, False),
+        ((P, P, P, D), ANNOUNCED_LEAVE_SECONDS, True),
+        # Two decode engines are left, so that another one may be lost.
+        ((P, P, P, D, D), DECODER_SHORTAGE_SECONDS, False),
     ],
 )
-def test_pool_left_with_one_decode_engine_by_notice(stages, seconds, changed):
-    """A decode engine drains and leaves one that decodes. When that one drains
-    too, a second later, nothing can run for as long as a stage change takes;
-    every moment before the order adds to it."""
+def test_decode_engine_is_ordered_at_once_when_one_is_left(stages, seconds, changed):
+    """Guards against a pool without decode engines: one announces that it leaves, and
+    if the only other one leaves a second later, nothing runs for as long as a stage
+    change takes and the order was delayed."""
     planner = StagePlanner()
     engines = pool(*stages)
-    planner.decide(engines, True, {}, CALM, 0.0)
-    change = planner.decide(engines, True, {}, CALM, seconds)
+    planner.decide(engines, True, {}, LIGHT, 0.0)
+    change = planner.decide(engines, True, {}, LIGHT, seconds)
     assert (change is not None) is changed
 
 
-def test_one_change_at_a_time_and_the_next_at_once():
-    """A pool without prefill engines gets one; while that order is at work
-    nothing else is ordered. As soon as the engine shows its stage and the
-    last decode engines leave, the next order doesn't wait."""
+def test_one_change_at_a_time_and_the_next_without_delay():
+    """Guards against a second order while the first is carried out, and against a next
+    order that waits until the first one expires although its engine reports the new
+    stage. A pool lacks prefill engines first, and then decode engines."""
     planner = StagePlanner()
     engines = pool(D, D, D, D)
-    planner.decide(engines, False, {}, CALM, 0.0)
-    change = planner.decide(engines, False, {}, CALM, MISSING_SECONDS)
-    planner.record_order(change, ORDER_SETTLE_SECONDS, MISSING_SECONDS)
-    after = MISSING_SECONDS + 1
-    assert planner.decide(engines, False, {}, CALM, after) is None
+    planner.decide(engines, False, {}, LIGHT, 0.0)
+    change = planner.decide(engines, False, {}, LIGHT, MISSING_STAGE_SECONDS)
+    planner.record_order(change, ORDER_SETTLE_SECONDS, MISSING_STAGE_SECONDS)
+    after = MISSING_STAGE_SECONDS + 1
+    assert planner.decide(engines, False, {}, LIGHT, after) is None
     engines = pool(P, P)
-    now = MISSING_SECONDS + 2
-    planner.decide(engines, False, {}, CALM, now)
-    moment = now + MISSING_SECONDS + 1e-6
-    change = planner.decide(engines, False, {}, CALM, moment)
+    now = MISSING_STAGE_SECONDS + 2
+    planner.decide(engines, False, {}, LIGHT, now)
+    moment = now + MISSING_STAGE_SECONDS + 1e-6
+    change = planner.decide(engines, False, {}, LIGHT, moment)
     assert change.stage is D
 
 
 @pytest.mark.parametrize(("count", "at_once"), [(4, 1), (9, 2), (30, 7)])
 def test_changes_at_once_are_a_share_of_the_pool(count, at_once):
-    """The mix turns to long prompts in a large pool. Several engines change at
-    once, so that it takes seconds, but never so many that the pool is dark."""
+    """Guards against a large pool that adapts one engine at a time to a mix of long
+    prompts, and against so many changes at once that the pool is unavailable."""
     planner = StagePlanner()
     engines = pool(P, *[D] * (count - 1))
-    planner.decide(engines, False, {}, HEAVY, 0.0)
+    planner.decide(engines, False, {}, PREFILL_HEAVY, 0.0)
     ordered = 0
     for _ in range(count):
-        change = planner.decide(engines, False, {}, HEAVY, PREFILL_SHORTAGE_SECONDS)
+        change = planner.decide(
+            engines, False, {}, PREFILL_HEAVY, PREFILL_SHORTAGE_SECONDS
+        )
         if change is not None:
             planner.record_order(change, ORDER_SETTLE_SECONDS, PREFILL_SHORTAGE_SECONDS)
             ordered += 1
@@ -235,10 +239,10 @@
 
 
 @pytest.mark.parametrize("period", [1.0, 3.0, 6.0])
-def test_mix_that_swings_changes_nothing(period):
-    """The mix swings between long prompts and long answers every few seconds.
-    Each change would darken an engine for as long as a swing lasts, so the pool
-    stays as it is for a whole minute."""
+def test_swinging_mix_changes_nothing(period):
+    """Guards against a pool that follows a mix which swings between long prompts and
+    long answers every few seconds: each change would make an engine unavailable for as
+    long as a swing lasts."""
     planner = StagePlanner()
     engines = pool(P, P, P, D, D, D)
     prompts, answers = StageNeeds(4.5, 0.3), StageNeeds(1.0, 2.6)
@@ -253,30 +257,30 @@
 @pytest.mark.parametrize(
     ("second", "third"),
     [
-        # Answered now: it is at work, nothing else is ordered.
+        # Answered now: it is carried out, nothing else is ordered.
         (ORDER_SETTLE_SECONDS, None),
-        # Refused or lost again: the first may still be carried out, so it is
-        # this engine's turn again and no other's.
+        # Refused or unanswered again: the first may still be carried out, so the order
+        # goes to this engine again and to no other one.
         (REFUSED_SETTLE_SECONDS, "e0"),
         (UNANSWERED_SETTLE_SECONDS, "e0"),
     ],
 )
-def test_order_without_an_answer_is_given_again_to_the_same_engine(second, third):
-    """A pool lost its prefill engines and the order to mend it gets no answer:
-    it may be carried out 12 s later. Until then all long prompts are late.
-    Given again with the same order count, it is carried out once; given to
-    another engine, two would change."""
+def test_unanswered_order_is_sent_again_to_the_same_engine(second, third):
+    """Guards against two engines that change instead of one: an unanswered order may be
+    carried out up to 12 s later. Sent again to the same engine with the same order
+    count, it is carried out once. Until then all long prompts are late, so it can't
+    just be waited for."""
     planner = StagePlanner()
     engines = pool(D, D, D, D)
-    now = MISSING_SECONDS
-    planner.decide(engines, False, {}, CALM, 0.0)
-    first = planner.decide(engines, False, {}, CALM, now)
+    now = MISSING_STAGE_SECONDS
+    planner.decide(engines, False, {}, LIGHT, 0.0)
+    first = planner.decide(engines, False, {}, LIGHT, now)
     planner.record_order(first, UNANSWERED_SETTLE_SECONDS, now)
-    half = now + REPEAT_SECONDS / 2
-    assert planner.decide(engines, False, {}, CALM, half) is None
-    now += REPEAT_SECONDS
-    again = planner.decide(engines, False, {}, CALM, now)
+    half = now + ORDER_RETRY_SECONDS / 2
+    assert planner.decide(engines, False, {}, LIGHT, half) is None
+    now += ORDER_RETRY_SECONDS
+    again = planner.decide(engines, False, {}, LIGHT, now)
     assert again == first
     planner.record_order(again, second, now)
-    change = planner.decide(engines, False, {}, CALM, now + REPEAT_SECONDS)
+    change = planner.decide(engines, False, {}, LIGHT, now + ORDER_RETRY_SECONDS)
     assert (change and change.instance.id) == third
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,9 +1,9 @@
-"""What callers with the largest prompts get while a pool reads less than is asked.
+"""Service of the longest prompts while more prefill is asked for than a pool can do.
 
-The load pattern is that of a small office: letters about a hundred documents, most
-of them short and a few of 50,000 tokens, beside short questions and checks, at a pool
-of five engines that lost a prefill engine or gets twice the letters for some seconds.
-In simulated time, without network.
+The simulated load consists of letters about a hundred documents, most of them short and
+a few of 50,000 tokens, beside short queries and slip checks. The pool of five engines
+has lost a prefill engine, or gets a burst of letters for some seconds. Runs in
+simulated time, without network.
 """
 
 import random
@@ -16,9 +16,9 @@
 
 SECONDS = 30.0
 SEEDS = range(1, 6)
-#: Seconds without an event after which the callers leave.
-PATIENCE = 2.4
-#: An engine's memory in tokens, and its reading speed.
+#: Seconds without an event after which the clients give up.
+CLIENT_IDLE_TIMEOUT = 2.4
+#: An engine's memory in tokens, and its prefill cost.
 MEMORY = 540_000
 COST = PrefillCost(0.07, 1 / 85_000, 3.2e-5 / 92_100)
 
@@ -38,13 +38,13 @@
         priority,
         2,
         True,
-        PATIENCE,
+        CLIENT_IDLE_TIMEOUT,
     )
 
 
 LETTER, QUERY, SLIP = route("l", 0.6, 2), route("q", 0.3, 1), route("s", 0.4, 0)
-#: Requests a second and documents of each, then the (median, spread on a logarithmic
-#: scale, most) tokens of its rules, its documents and its own part.
+#: By route: requests a second, number of documents, and the tokens of the rules, a
+#: document and the request's own part (median, spread on a logarithmic scale, maximum).
 KINDS = {
     LETTER: (8.4, 114, (512, 0.4, 1280), (3800, 0.7, 14600), (2480, 1.4, 54600)),
     QUERY: (12.4, 167, (119, 0.4, 298), (62, 0.7, 238), (380, 1.0, 3310)),
@@ -53,8 +53,8 @@
 
 
 def tokens(rng, size):
-    median, spread, most = size
-    return max(1, min(most, int(median * rng.lognormvariate(0.0, spread))))
+    median, spread, maximum = size
+    return max(1, min(maximum, int(median * rng.lognormvariate(0.0, spread))))
 
 
 def arrivals(seed, letters):
@@ -83,14 +83,14 @@
 
 
 def by_size(jobs):
-    """Return (all, the largest tenth, the fifth below it) of the letters."""
+    """Return (all, the longest tenth, the fifth below it) of the letters."""
     letters = [job for job in jobs if job.route is LETTER]
     letters.sort(key=lambda job: job.prompt.tokens)
     tenth = len(letters) // 10
     return letters, letters[-tenth:], letters[-3 * tenth : -tenth]
 
 
-# Guards against large prompts that wait behind all others until their callers leave.
+# Guards against long prompts that wait behind all others until their clients time out.
 @pytest.mark.parametrize(
     ("prefills", "decoders", "letters"),
     [
@@ -98,13 +98,13 @@
         pytest.param(2, 3, 3.0, id="a-burst-of-letters"),
     ],
 )
-def test_largest_prompts_are_not_starved(prefills, decoders, letters):
-    days = [[], [], []]
+def test_longest_prompts_are_not_starved(prefills, decoders, letters):
+    groups = [[], [], []]
     for seed in SEEDS:
         pool = EnginePool(prefills, decoders, 8, COST, MEMORY)
         jobs = pool.run(arrivals(seed, letters), SECONDS + 5)
-        for day, part in zip(days, by_size(jobs)):
-            day.extend(part)
-    everyone, largest, next_largest = days
-    assert served(largest) >= 0.5 * served(everyone)
-    assert served(next_largest) >= 0.5 * served(everyone)
+        for group, part in zip(groups, by_size(jobs)):
+            group.extend(part)
+    everyone, longest, next_longest = groups
+    assert served(longest) >= 0.5 * served(everyone)
+    assert served(next_longest) >= 0.5 * served(everyone)
