--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -42,11 +42,12 @@
 class Demand:
     """What is asked of a pool, a second or by one request.
 
-    ``prefill_work`` is the prefill work, in tokens without context; ``transferred_tokens`` are the tokens
-    whose KV cache is transferred to a decode engine; ``streams`` are the requests.
-    ``prefill_engine_work`` and ``decode_engine_work`` are the prefill work that was sent to prefill and to
-    decode engines, retries included; ``short_prefill_work`` is the part of ``prefill_work`` that decode
-    engines could do as well.
+    ``prefill_work`` is in tokens without context, as are all fields named ``_work``.
+    ``transferred_tokens`` are those whose KV cache is transferred to a decode engine,
+    ``streams`` the requests. ``prefill_engine_work`` and ``decode_engine_work`` are the
+    prefill work that was sent to prefill and to decode engines, retries included;
+    ``short_prefill_work`` is the part of ``prefill_work`` that decode engines could do
+    as well.
     """
 
     prefill_work: float = 0.0
--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -89,13 +89,13 @@
         self.pool(service).demand.record(demand, now)
 
     def record_sample(self, sample, now):
-        """Record a :class:`PrefillSample` of this VM, also for its peers: alone, each VM
-        would see too few of them to estimate an engine's speed."""
+        """Record a :class:`PrefillSample` of this VM, also for its peers: alone, each
+        VM would see too few of them to estimate an engine's speed."""
         self.samples.append(sample)
         self.apply_samples([sample], now)
 
     def take_samples(self):
-        """Return the :class:`PrefillSample` list not yet sent to peers, and clear it."""
+        """Return the :class:`PrefillSample` list not yet sent to peers; clear it."""
         samples, self.samples = self.samples, []
         return samples
 
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -74,8 +74,8 @@
 
     ``received_at`` is when they arrived (monotonic seconds), ``interval`` the seconds
     until the peer's next message. ``leaving`` is True for a VM that is about to leave,
-    ``cordoned`` are the instances that it has cordoned, ``suspects`` those that it avoids
-    because its own requests failed there.
+    ``cordoned`` are the instances that it gives no new work for now, ``suspects`` those
+    that it avoids because its own requests failed there.
     """
 
     sequence: int
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -65,11 +65,11 @@
 
     ``loads`` maps engine ids to :class:`Load`, ``cost`` is the
     :class:`~mulberrydock.prefill_cost.PrefillCost` of the engines, ``cache`` the
-    :class:`~mulberrydock.prefix_cache.PrefixCacheIndex`. ``transfer_seconds_per_token`` is the time to
-    transfer one token's KV cache between engines of a data centre,
+    :class:`~mulberrydock.prefix_cache.PrefixCacheIndex`. ``transfer_seconds_per_token``
+    is the time to transfer one token's KV cache between engines of a data centre.
     ``prefill_utilization`` and ``decode_utilization`` are those of the two stages,
-    ``streams`` is the number of requests a second. ``report_delay`` is the number of seconds for
-    which sends of other VMs may not have been reported yet.
+    ``streams`` is the number of requests a second. ``report_delay`` is the number of
+    seconds for which sends of other VMs may not have been reported yet.
     """
 
     prefills: list
@@ -100,7 +100,7 @@
     prompt need no prefill. ``wait`` is the estimate of seconds to the first token,
     ``prefill_seconds`` the part of it that prefilling the prompt takes, ``queued`` the
     work that is prefilled first. ``urgency`` is the priority at the engine that
-    prefills. ``no_free_slot`` is True when all slots of the decode engines are in use.
+    prefills. ``decode_slots_full`` is True when all decode engines' slots are in use.
     """
 
     target: object
@@ -111,7 +111,7 @@
     cached: int = 0
     queued: float = 0.0
     urgency: int = 0
-    no_free_slot: bool = False
+    decode_slots_full: bool = False
 
 
 @attrs.define(frozen=True)
@@ -136,7 +136,7 @@
     return int.from_bytes(rank("lot", request_id)) / 2**64
 
 
-def prefill_urgency(prefill_seconds, route, fraction, load, cost):
+def prefill_urgency(prefill_seconds, route, hash_fraction, load, cost):
     """Return the priority of a prefill: the longer it takes, the less urgent it is.
 
     A long prefill delays several short ones that could still meet their objective.
@@ -145,7 +145,7 @@
     wait until the client times out.
 
     :param prefill_seconds: time that the engine takes to prefill the prompt.
-    :param fraction: the request's :func:`request_hash_fraction`.
+    :param hash_fraction: the request's :func:`request_hash_fraction`.
     :param load: the :class:`Load` of the engine.
     :param cost: the pool's :class:`~mulberrydock.prefill_cost.PrefillCost`.
     """
@@ -154,7 +154,7 @@
         prefill_seconds > step * route.latency_objective for step in URGENCY_STEPS
     )
     urgency = min(PRIORITY_MAX, priority + size)
-    if urgency == priority or fraction >= BOOSTED_SHARE:
+    if urgency == priority or hash_fraction >= BOOSTED_SHARE:
         return urgency
     wait = cost.seconds(load.tokens_ahead(urgency)) + prefill_seconds
     if wait <= BOOST_WAIT_SHARE * route.client_idle_timeout:
@@ -207,11 +207,18 @@
         )
 
     def _options(
-        self, prompt, route, fraction, instances, pool, utilization, speed_ratio=1.0
+        self,
+        prompt,
+        route,
+        hash_fraction,
+        instances,
+        pool,
+        utilization,
+        speed_ratio=1.0,
     ):
         """Return an :class:`Option` for each instance.
 
-        :param fraction: the request's :func:`request_hash_fraction`.
+        :param hash_fraction: the request's :func:`request_hash_fraction`.
         :param utilization: that of the instances' stage.
         :param speed_ratio: prefill speed of these engines over a prefill engine's.
         """
@@ -227,7 +234,7 @@
             urgency = min(PRIORITY_MAX, route.priority)
             if speed_ratio == 1.0:
                 urgency = prefill_urgency(
-                    prefill_seconds, route, fraction, load, pool.cost
+                    prefill_seconds, route, hash_fraction, load, pool.cost
                 )
             ahead = load.tokens_ahead(urgency)
             queue = pool.cost.seconds(ahead) / speed_ratio
@@ -308,31 +315,31 @@
             + self._hop_seconds(instance)
         )
 
-    def plan(self, prompt, route, pool, fraction=1.0):
+    def plan(self, prompt, route, pool, hash_fraction=1.0):
         """Return a :class:`Plan` for a prompt, None without a decode engine.
 
-        :param fraction: the request's :func:`request_hash_fraction`.
+        :param hash_fraction: the request's :func:`request_hash_fraction`.
         :param pool: the :class:`Pool` to choose from.
         """
         if not pool.decoders:
             return None
-        plan = self._cheaper(prompt, route, pool, fraction)
+        plan = self._cheaper(prompt, route, pool, hash_fraction)
         return attrs.evolve(
-            plan, no_free_slot=not any(map(pool.has_free_slot, pool.decoders))
+            plan, decode_slots_full=not any(map(pool.has_free_slot, pool.decoders))
         )
 
-    def _cheaper(self, prompt, route, pool, fraction):
+    def _cheaper(self, prompt, route, pool, hash_fraction):
         """Return the :class:`Plan` of lower cost: in place, or with a handoff."""
-        in_place_cost, in_place = self._in_place(prompt, route, fraction, pool)
+        in_place_cost, in_place = self._in_place(prompt, route, hash_fraction, pool)
         if not pool.prefills:
             return in_place
-        cost, handoff = self._handoff(prompt, route, fraction, pool)
+        cost, handoff = self._handoff(prompt, route, hash_fraction, pool)
         short = is_short(
             in_place.prefill_seconds * IN_PLACE_SPEED_RATIO, route.latency_objective
         )
         return in_place if short and in_place_cost < cost else handoff
 
-    def _in_place(self, prompt, route, fraction, pool):
+    def _in_place(self, prompt, route, hash_fraction, pool):
         """Return (cost, :class:`Plan`) of the prefill by a decode engine."""
         options = self._options(
             prompt,
@@ -347,20 +354,20 @@
         rows = []
         for option in options:
             running = max(level, self._running_seconds(option.instance, pool))
-            order = rank(fraction, option.instance.id)
+            order = rank(hash_fraction, option.instance.id)
             rows.append((option.cost + running, order, option, running))
         cost, _, best, running = min(rows, key=lambda row: row[:2])
         wait = best.wait + running
         plan = Plan(best.instance, None, best.work, wait, best.prefill_seconds)
         return cost, self._with_details(plan, best)
 
-    def _handoff(self, prompt, route, fraction, pool):
+    def _handoff(self, prompt, route, hash_fraction, pool):
         """Return (cost, :class:`Plan`) of the prefill by a prefill engine."""
         options = self._options(
-            prompt, route, fraction, pool.prefills, pool, pool.prefill_utilization
+            prompt, route, hash_fraction, pool.prefills, pool, pool.prefill_utilization
         )
-        best = min(options, key=lambda o: (o.cost, rank(fraction, o.instance.id)))
-        target = self.choose_decoder(pool, prompt.tokens, best.instance, fraction)
+        best = min(options, key=lambda o: (o.cost, rank(hash_fraction, o.instance.id)))
+        target = self.choose_decoder(pool, prompt.tokens, best.instance, hash_fraction)
         after = self._decode_seconds(target, pool, prompt.tokens, best.instance)
         after += HANDOFF_SECONDS
         plan = Plan(
@@ -376,12 +383,12 @@
             urgency=option.urgency,
         )
 
-    def choose_decoder(self, pool, transferred_tokens, source, fraction=1.0):
+    def choose_decoder(self, pool, transferred_tokens, source, hash_fraction=1.0):
         """Return the decode engine with the earliest first token, None without one.
 
         :param transferred_tokens: tokens whose KV cache comes from ``source``.
-        :param fraction: the request's :func:`request_hash_fraction`. It breaks ties, in another order
-            for each request.
+        :param hash_fraction: the request's :func:`request_hash_fraction`. It breaks
+            ties, in another order for each request.
         """
         level = self._running_level(pool)
 
@@ -389,6 +396,6 @@
             seconds = self._decode_seconds(
                 instance, pool, transferred_tokens, source, level
             )
-            return seconds, rank(fraction, instance.id)
+            return seconds, rank(hash_fraction, instance.id)
 
         return min(pool.decoders, key=key, default=None)
--- a/src/mulberrydock/refusal.py
+++ b/src/mulberrydock/refusal.py
@@ -40,7 +40,7 @@
     :param most_urgent: True when no other request of the service is more urgent.
     :param left: seconds until the request's deadline.
     """
-    if plan.no_free_slot and not most_urgent:
+    if plan.decode_slots_full and not most_urgent:
         # With more streams than slots all of them slow down, and long answers miss
         # their deadline; the most urgent requests preempt others.
         return Refusal("no decode engine has a place", retry_after(True, left))
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -75,7 +75,8 @@
 class StageNeeds:
     """Work that is asked of each stage of a pool, in numbers of busy engines.
 
-    ``short`` is the part of ``prefill_demand`` that decode engines could do as well.
+    ``short_prefill_demand`` is the part of ``prefill_demand`` that decode engines could
+    do as well.
     """
 
     prefill_demand: float = 0.0
@@ -162,12 +163,12 @@
     if prefills and overloaded and _relieves(prefills, decoders, needs):
         return prefills - 1
     idle = IN_PLACE_SPEED_RATIO * max(0.0, decoders - needs.decode_demand)
-    prefill_demand = needs.prefill_demand - min(needs.short_prefill_demand, idle)
+    remaining = needs.prefill_demand - min(needs.short_prefill_demand, idle)
     can_spare = decoders > spare
     can_spare = can_spare and needs.decode_demand <= MAX_DECODE_UTILIZATION * (
         decoders - 1
     )
-    if can_spare and prefill_demand > max_prefill_utilization(count) * prefills:
+    if can_spare and remaining > max_prefill_utilization(count) * prefills:
         return prefills + 1
     return prefills if prefills or count < 2 else 1
 
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -35,7 +35,7 @@
 
 
 class Suspicion:
-    """The :class:`InstanceHealth` of each instance by id; all times are monotonic seconds."""
+    """The :class:`InstanceHealth` of each instance; all times are monotonic seconds."""
 
     def __init__(self):
         self.health_by_id = {}
--- a/tests/engine_pool.py
+++ b/tests/engine_pool.py
@@ -237,9 +237,9 @@
         target = job.plan.target
         if job.plan.prefill:
             pool = self.known_to(job.vm)
-            fraction = request_hash_fraction(job.name)
+            hash_fraction = request_hash_fraction(job.name)
             target = job.vm.placement.choose_decoder(
-                pool, job.prompt.tokens, job.plan.prefill, fraction
+                pool, job.prompt.tokens, job.plan.prefill, hash_fraction
             )
         job.first_at = now + FIRST_EVENT_SECONDS
         stream = job.vm.loads.begin(target.id, 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -230,10 +230,12 @@
     route = attrs.evolve(
         ROUTE, latency_objective=0.6, priority=2, client_idle_timeout=2.4
     )
-    fractions = [request_hash_fraction(f"request-{number}") for number in range(400)]
+    hash_fractions = [
+        request_hash_fraction(f"request-{number}") for number in range(400)
+    ]
     load = Load(1, (int(waits / COST.token),))
     urgencies = [
-        prefill_urgency(prefill_seconds, route, f, load, COST) for f in fractions
+        prefill_urgency(prefill_seconds, route, f, load, COST) for f in hash_fractions
     ]
     urgent = sum(urgency == 1 for urgency in urgencies)
     assert (160 < urgent < 240) if boosted else urgent == 0
@@ -252,17 +254,19 @@
 
 # Guards against streams that are sent to engines whose slots are all in use.
 @pytest.mark.parametrize(
-    ("running", "no_free_slot"), [((63, 64), False), ((64, 64), True), ((90, 90), True)]
+    ("running", "decode_slots_full"),
+    [((63, 64), False), ((64, 64), True), ((90, 90), True)],
 )
 @pytest.mark.parametrize("prefills", [0, 2])
 def test_plan_tells_when_no_decode_engine_has_a_free_slot(
-    running, no_free_slot, prefills
+    running, decode_slots_full, prefills
 ):
     decoders = engines(D, 2)
     loads = {engine.id: Load(count) for engine, count in zip(decoders, running)}
     known = pool(engines(P, prefills), decoders, loads)
     assert (
-        Placement("dc1").plan(long_prompt(1), ROUTE, known).no_free_slot is no_free_slot
+        Placement("dc1").plan(long_prompt(1), ROUTE, known).decode_slots_full
+        is decode_slots_full
     )
 
 
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -147,8 +147,8 @@
     received = there.pool("llm")
     fitted = here.pool("llm").cost_model.cost
     assert fitted.seconds(fitted.work(5000, 0)) == pytest.approx(0.2, rel=0.15)
-    assert received.speed.cost.token == pytest.approx(fitted.token)
+    assert received.cost_model.cost.token == pytest.approx(fitted.token)
     sent = here.pool("llm").demand.own(4.0)
     assert received.demand.total(4.0).transferred_tokens == pytest.approx(
-        sent.moved, rel=1e-6
+        sent.transferred_tokens, rel=1e-6
     )
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -44,13 +44,13 @@
 # Guards against more streams than the decode engines have slots: all of them slow down
 # then, and the longest answers are cut at their deadline.
 @pytest.mark.parametrize(
-    ("no_free_slot", "most_urgent", "refused"),
+    ("decode_slots_full", "most_urgent", "refused"),
     [(False, False, False), (True, False, True), (True, True, False)],
 )
 def test_without_a_free_slot_all_but_the_most_urgent_streams_are_refused(
-    no_free_slot, most_urgent, refused
+    decode_slots_full, most_urgent, refused
 ):
-    plan = Plan(None, None, 0, 0.3, 0.1, no_free_slot=no_free_slot)
+    plan = Plan(None, None, 0, 0.3, 0.1, decode_slots_full=decode_slots_full)
     answer = refusal.refuse(plan, 2.4, most_urgent, 10.0)
     assert (answer is not None) is refused
 
