--- a/src/mulberrydock/planner.py
+++ b/src/mulberrydock/planner.py
@@ -155,10 +155,10 @@
         """Return how many of ``engines`` should prefill if ``current`` do now."""
 
         def value(count):
-            on_time = delayed_share(demand, engines, 0)
-            on_time -= delayed_share(demand, engines, count)
+            gained_share = delayed_share(demand, engines, 0)
+            gained_share -= delayed_share(demand, engines, count)
             changes = abs(count - current)
-            gain = on_time * self.goodput_weight * PAYBACK_SECONDS
+            gain = gained_share * self.goodput_weight * PAYBACK_SECONDS
             return gain - changes * self.change_weight, -changes
 
         return max(range(engines), key=value, default=0)
--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -14,7 +14,7 @@
 from . import defaults, policies
 
 #: Seconds for which an upstream is avoided after a failure.
-FAILURE_AVOID_SECONDS = 2.0
+FAILURE_AVOIDANCE_SECONDS = 2.0
 #: Seconds after which a load report is stale.
 REPORT_EXPIRY_SECONDS = 5.0
 #: Seconds for which sent work counts as unfinished without a fresh report.
@@ -238,5 +238,5 @@
 
     def record_failure(self, upstream, now):
         """Record a failure of ``upstream`` at ``now``, so that it is avoided for
-        :data:`FAILURE_AVOID_SECONDS`."""
-        upstream.failed_until = now + FAILURE_AVOID_SECONDS
+        :data:`FAILURE_AVOIDANCE_SECONDS`."""
+        upstream.failed_until = now + FAILURE_AVOIDANCE_SECONDS
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -34,7 +34,7 @@
 MAX_PREFILL_UTILIZATION = 1.2
 MAX_PREFILL_UTILIZATION_LARGE = 0.5
 SMALL_POOL = 9
-#: Number of engines, twice as many, from which a change of one is hardly noticed.
+#: Number of engines, twice ``SMALL_POOL``, from which a change of one hardly matters.
 LARGE_POOL = 18
 #: Utilization of the decode engines above which one more decodes; the streams of an
 #: engine share it and slow each other down.
