--- a/src/mulberrydock/_http.py
+++ b/src/mulberrydock/_http.py
@@ -1,4 +1,4 @@
-"""Small helpers over tornado's HTTP server and client for JSON bodies."""
+"""Helpers for JSON bodies over tornado's HTTP server and client."""
 
 import json
 
@@ -45,9 +45,11 @@
 async def fetch_json(client, method, address, path, body=None, timeout=2.0):
     """Send one JSON request and return ``(status, parsed_body)``.
 
-    A non-2xx status is returned, not raised; connection failures and
-    timeouts raise :class:`tornado.httpclient.HTTPClientError` with code 599
-    or :class:`OSError`.
+    A non-2xx status is returned, not raised.
+
+    :param timeout: seconds for the whole request.
+    :raises tornado.httpclient.HTTPClientError: with code 599, or :class:`OSError`, when
+        the connection fails or times out.
     """
     request = tornado.httpclient.HTTPRequest(
         url(address, path),
--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -1,9 +1,9 @@
-"""One language request: admission, prefill hand-off, relay and resume.
+"""One language request: admission, prefill handoff, relay and resume.
 
-The engine is always asked for a stream, also for a whole answer, because
-its tokens are the only sign that a connection still works. A stream that is
-cut is resumed on another engine after the last event already received, so
-the caller gets one whole answer, or is told that it was cut.
+The engine is asked for a stream even when the client wants a whole response, because
+its tokens are the only sign that a connection still works. A stream that is cut is
+resumed on another engine after the last event received, so the caller gets one whole
+response, or is told that it was cut.
 """
 
 import abc
@@ -23,35 +23,35 @@
 
 #: Engines that one language request may be sent to.
 MAX_ATTEMPTS = 3
-#: Multiple of the estimated wait after which a silent engine is given up.
-WAIT_MARGIN = 3.0
-#: Multiple of a class's deadline at which a stream still running is cut.
-LATE_LIMIT = 2.0
-#: Prompt tokens from which a prefill engine, if there is one, prefills.
+#: Multiple of the estimated wait after which a silent engine times out.
+WAIT_TIMEOUT_FACTOR = 3.0
+#: Multiple of a class's deadline at which a stream that is still running is cut.
+LATE_CUT_FACTOR = 2.0
+#: Prompt tokens from which a prefill engine, if there is one, does the prefill.
 PREFILL_HANDOFF_TOKENS = 256
 #: Output tokens assumed when a request names no ``max_tokens``.
 DEFAULT_MAX_TOKENS = 16
-#: Request fields whose answers can't be put together from stream events.
+#: Request fields whose responses can't be assembled from stream events.
 PASS_THROUGH_FIELDS = ("tools", "functions", "logprobs", "best_of")
 
-DONE = b"[DONE]"
-DATA = b"data: "
+DONE_MARKER = b"[DONE]"
+DATA_PREFIX = b"data: "
 
 
 class Sink(abc.ABC):
-    """Where the events of an answer go."""
+    """Receives the events of a response."""
 
     @abc.abstractmethod
-    def event(self, document, raw):
-        """Take one event, parsed and as bytes."""
+    def add_event(self, document, raw):
+        """Add one event, given parsed and as bytes."""
 
     @abc.abstractmethod
     def finish(self):
-        """The answer is complete."""
+        """Finish the response as complete."""
 
     @abc.abstractmethod
-    def cut(self, message):
-        """The answer can't be completed after events were taken."""
+    def abort(self, message):
+        """End a response that can't be completed after events were added."""
 
 
 def _finish_json(handler, body):
@@ -61,15 +61,15 @@
 
 
 class StreamSink(Sink):
-    """Forwards events to the caller as they come."""
+    """Forwards events to the caller as they arrive."""
 
     def __init__(self, handler):
         self.handler = handler
-        self.begun = False
+        self.has_started = False
 
-    def event(self, document, raw):
-        if not self.begun:
-            self.begun = True
+    def add_event(self, document, raw):
+        if not self.has_started:
+            self.has_started = True
             self.handler.set_header(defaults.RESULT_HEADER, str(int(ResultCode.OK)))
             self.handler.set_header("Content-Type", "text/event-stream")
             self.handler.set_header("Cache-Control", "no-cache")
@@ -77,17 +77,17 @@
         self.handler.flush()
 
     def finish(self):
-        self.handler.finish(DATA + DONE + b"\n\n")
+        self.handler.finish(DATA_PREFIX + DONE_MARKER + b"\n\n")
 
-    def cut(self, message):
-        # No [DONE] follows the error, so the answer can't pass as complete.
+    def abort(self, message):
+        # No [DONE] follows the error, so the response can't pass as complete.
         error = {"error": {"code": int(ResultCode.STREAM_CUT), "message": message}}
         self.handler.write(f"data: {json.dumps(error)}\n\n")
         self.handler.finish()
 
 
-class WholeSink(Sink):
-    """Puts a whole answer together from stream events."""
+class BufferedSink(Sink):
+    """Assembles a whole response from stream events."""
 
     def __init__(self, handler, chat):
         self.handler = handler
@@ -95,7 +95,7 @@
         self.texts = []
         self.last = {}
 
-    def event(self, document, raw):
+    def add_event(self, document, raw):
         choice = document["choices"][0]
         self.texts.append(
             choice["delta"].get("content", "") if self.chat else choice["text"]
@@ -104,46 +104,46 @@
 
     def finish(self):
         text = "".join(self.texts)
-        answer = {"index": 0, "text": text}
+        choice = {"index": 0, "text": text}
         if self.chat:
-            answer = {"index": 0, "message": {"role": "assistant", "content": text}}
-        answer["finish_reason"] = self.last["choices"][0].get("finish_reason")
+            choice = {"index": 0, "message": {"role": "assistant", "content": text}}
+        choice["finish_reason"] = self.last["choices"][0].get("finish_reason")
         document = {
             "id": self.last["id"],
             "object": "chat.completion" if self.chat else "text_completion",
             "model": self.last["model"],
-            "choices": [answer],
+            "choices": [choice],
             "usage": self.last.get("usage"),
         }
         _finish_json(self.handler, json.dumps(document))
 
-    def cut(self, message):
+    def abort(self, message):
         self.handler.refuse(502, ResultCode.STREAM_CUT, message)
 
 
 class PassThroughSink(Sink):
-    """Passes on an engine's own whole answer, unparsed but for its id."""
+    """Passes an engine's own whole response on, unparsed but for its id."""
 
     def __init__(self, handler):
         self.handler = handler
         self.raw = b""
 
-    def event(self, document, raw):
+    def add_event(self, document, raw):
         self.raw = raw
 
     def finish(self):
         _finish_json(self.handler, self.raw)
 
-    def cut(self, message):
+    def abort(self, message):
         self.handler.refuse(502, ResultCode.STREAM_CUT, message)
 
 
-class _Answer:
-    """Checks the events of one engine's answer and hands them to the sink.
+class _ResponseChecker:
+    """Checks the events of one engine's response and passes them to the sink.
 
-    Each event carries the request's id and its place in the answer. An id
-    of another request (a crossed answer) or a wrong place (a lost or doubled
-    event) ends the exchange before anything of it is taken.
+    Each event carries the request's id and its sequence number. An id of another
+    request (a crossed response) or a wrong number (a lost or duplicated event) ends the
+    exchange before any part of that event is passed on.
     """
 
     def __init__(self, completion, streamed):
@@ -164,38 +164,55 @@
             return
         while b"\n\n" in self.buffer:
             event, self.buffer = self.buffer.split(b"\n\n", 1)
-            self._take(event)
+            self._check_event(event)
 
-    def _take(self, event):
-        data = event.removeprefix(DATA)
-        if data.strip() == DONE:
+    def _check_event(self, event):
+        data = event.removeprefix(DATA_PREFIX)
+        if data.strip() == DONE_MARKER:
             self.done = True
             return
         document = json.loads(data)
         completion = self.completion
         if document.get("id") != completion.request_id:
-            raise UpstreamError("crossed answer", ResultCode.STREAM_CUT)
-        if document.get("sequence", completion.events) != completion.events:
-            raise UpstreamError("event out of place", ResultCode.STREAM_CUT)
-        completion.take(document, event)
+            raise UpstreamError(
+                f"response is for another request: {document.get('id')!r}",
+                ResultCode.STREAM_CUT,
+            )
+        if document.get("sequence", completion.event_count) != completion.event_count:
+            raise UpstreamError(
+                f"event {document.get('sequence')} received, expected "
+                f"{completion.event_count}",
+                ResultCode.STREAM_CUT,
+            )
+        completion.accept_event(document, event)
+
+    def check_complete(self):
+        """Check that the response ended as a complete one.
 
-    def end(self):
-        """Check that the answer ended as a complete one."""
+        :raises UpstreamError: when it didn't.
+        """
         if self.streamed:
             if not self.done:
-                raise UpstreamError("stream ended early", ResultCode.STREAM_CUT)
+                raise UpstreamError(
+                    f"stream ended without [DONE] after event "
+                    f"{self.completion.event_count}",
+                    ResultCode.STREAM_CUT,
+                )
             return
         document = json.loads(self.buffer)
         if document.get("id") != self.completion.request_id:
-            raise UpstreamError("crossed answer", ResultCode.STREAM_CUT)
-        self.completion.take(document, self.buffer)
+            raise UpstreamError(
+                f"response is for another request: {document.get('id')!r}",
+                ResultCode.STREAM_CUT,
+            )
+        self.completion.accept_event(document, self.buffer)
 
 
 class Completion:
     """One language request at an entry.
 
-    Build with :meth:`from_request`; :meth:`run` answers it through ``sink``
-    and returns the :class:`ResultCode` of the outcome.
+    Build with :meth:`from_request`; :meth:`run` answers it through ``sink`` and returns
+    the :class:`ResultCode` of the outcome.
     """
 
     def __init__(self, daemon, klass, route, body, work, sink, arrived, fingerprint):
@@ -208,7 +225,7 @@
         self.arrived = arrived
         self.fingerprint = fingerprint
         self.request_id = uuid.uuid4().hex
-        self.events = 0
+        self.event_count = 0
         self.may_have_run = False
         self.first_event_at = None
         self.tried = set()
@@ -222,7 +239,7 @@
         elif any(body.get(f) for f in PASS_THROUGH_FIELDS) or body.get("n", 1) != 1:
             sink = PassThroughSink(handler)
         else:
-            sink = WholeSink(handler, chat)
+            sink = BufferedSink(handler, chat)
         daemon = handler.daemon
         tokens = prompt_tokens(body)
         blocks = ()
@@ -247,18 +264,20 @@
 
     @property
     def deadline(self):
-        """When the class's deadline for this request is over."""
+        """The deadline of the request's class for this request, monotonic seconds."""
         return self.arrived + self.klass.deadline_seconds
 
     @property
     def model(self):
-        """Model named by the request, or empty for any."""
+        """Model named by the request, empty for any."""
         return self.body.get("model", "")
 
-    def admission(self, now):
+    def decide_admission(self, now):
         """Decide whether the engine with the shortest wait could answer in time.
 
-        Without any engine the answer is NO_UPSTREAM, not a refusal here.
+        A request without any engine is admitted here and ends as NO_UPSTREAM.
+
+        :returns: a :class:`~mulberrydock.admission.Decision`.
         """
         router = self.daemon.engines
         best = LeastWait.best(
@@ -276,24 +295,26 @@
             self.deadline - now,
         )
 
-    def take(self, document, raw):
-        """Hand one checked event to the sink."""
+    def accept_event(self, document, raw):
+        """Pass one checked event to the sink."""
         if self.first_event_at is None:
             self.first_event_at = time.monotonic()
-        self.events += 1
-        self.sink.event(document, raw)
+        self.event_count += 1
+        self.sink.add_event(document, raw)
 
     async def run(self):
-        """Try engines until the answer is whole; return the result code.
+        """Try engines until the response is complete; return the result code.
 
-        NO_UPSTREAM and QUARANTINED (it ran nowhere) or UPSTREAM_FAILED (it may have
-        run) are returned with nothing written; the caller of this method then answers.
+        With NO_UPSTREAM or QUARANTINED (it has not run) and with UPSTREAM_FAILED (it
+        may have run) nothing has been written, and the caller of this method answers.
         """
         code = ResultCode.CALLER_GONE
         try:
             code = await self._attempts()
         finally:
-            self.daemon.crashes.ended(self.fingerprint, code is ResultCode.OK)
+            self.daemon.crashes.record_request_end(
+                self.fingerprint, code is ResultCode.OK
+            )
         return code
 
     async def _attempts(self):
@@ -323,15 +344,17 @@
                 self.may_have_run |= error.code != ResultCode.NOT_RUN
                 cause = str(error)
                 call = f"{self.request_id}/{attempt}"
-                await self.daemon.crashes.failed(self.fingerprint, engine, call, error)
+                await self.daemon.crashes.record_failure(
+                    self.fingerprint, engine, call, error
+                )
                 logger.info(
                     "attempt failed",
                     engine=engine.name,
                     request=self.request_id,
                     error=cause,
                 )
-        if self.events:
-            self.sink.cut(cause)
+        if self.event_count:
+            self.sink.abort(cause)
             return ResultCode.STREAM_CUT
         if self.may_have_run:
             return ResultCode.UPSTREAM_FAILED
@@ -343,8 +366,8 @@
         router = self.daemon.engines
         engine = router.choose(self.model, self.tried, self.work, now)
         if engine is None and self.tried:
-            # Every engine was tried once. A failed connection says little
-            # about its engine, so the attempts left go to any of them.
+            # Every engine was tried once. A failed connection says little about its
+            # engine, so the remaining attempts may use any of them.
             self.tried.clear()
             engine = router.choose(self.model, self.tried, self.work, now)
         if engine is not None:
@@ -352,51 +375,51 @@
         return engine
 
     async def _attempt(self, engine, now):
-        """Send to ``engine``; True when the answer is whole, False when refused."""
-        source = await self._prefill(now)
+        """Send to ``engine``; return True for a whole response, False on a refusal."""
+        kv_source = await self._prefill(now)
         now = time.monotonic()
         estimate = engine.wait_seconds(
             self.work, now, self.daemon.engines.policy.entries
         )
         streamed = not isinstance(self.sink, PassThroughSink)
-        answer = _Answer(self, streamed)
-        first = self.events == 0
+        checker = _ResponseChecker(self, streamed)
+        is_first_run = self.event_count == 0
         engine.record_send(self.work, now)
         engine.in_flight += 1
         try:
-            await self._exchange(engine, answer, source, estimate, streamed)
+            await self._exchange(engine, checker, kv_source, estimate, streamed)
         finally:
             engine.in_flight -= 1
-        if answer.status != 200:
+        if checker.status != 200:
             self.daemon.engines.record_failure(engine, time.monotonic())
-            self.may_have_run |= not answer.not_executed
+            self.may_have_run |= not checker.not_executed
             return False
-        answer.end()
-        if first and not source:
+        checker.check_complete()
+        if is_first_run and not kv_source:
             waited = self.first_event_at - now
             self.daemon.admission.observe(self.klass, estimate, waited)
         return True
 
-    async def _exchange(self, engine, answer, source, estimate, streamed):
+    async def _exchange(self, engine, checker, kv_source, estimate, streamed):
         idle = self.daemon.settings.deployment.stream_idle_timeout_seconds
         headers = self._headers()
-        if source:
-            headers[defaults.KV_SOURCE_HEADER] = source
-        if self.events:
-            headers[defaults.RESUME_HEADER] = str(self.events)
-        limit = self.arrived + LATE_LIMIT * self.klass.deadline_seconds
+        if kv_source:
+            headers[defaults.KV_SOURCE_HEADER] = kv_source
+        if self.event_count:
+            headers[defaults.RESUME_HEADER] = str(self.event_count)
+        limit = self.arrived + LATE_CUT_FACTOR * self.klass.deadline_seconds
         left = max(idle, limit - time.monotonic())
-        # Before the first token an engine is rightly silent while the prompt
-        # waits and is prefilled; after it, silence means a dead connection.
-        first_byte = idle + WAIT_MARGIN * estimate if streamed else left
+        # Before the first token an engine may be silent, while the prompt is queued and
+        # prefilled; after it, silence means a dead connection.
+        first_byte = idle + WAIT_TIMEOUT_FACTOR * estimate if streamed else left
         await upstream.exchange(
             engine.address,
             "POST",
             f"/v1/{self.route}",
             headers,
             json.dumps(self.body | {"stream": streamed}).encode(),
-            answer.on_chunk,
-            answer.on_headers,
+            checker.on_chunk,
+            checker.on_headers,
             first_byte_timeout=first_byte,
             idle_timeout=idle,
             total_timeout=left,
@@ -412,10 +435,10 @@
     async def _prefill(self, now):
         """Prefill on a prefill engine; return the KV source, empty if not done.
 
-        Any failure falls back to prefilling on the decoding engine, which is
-        always possible, so a prefill engine can't fail a request.
+        On any failure the decode engine prefills, which is always possible, so a
+        prefill engine can't fail a request.
         """
-        if self.work.prompt_tokens < PREFILL_HANDOFF_TOKENS or self.events:
+        if self.work.prompt_tokens < PREFILL_HANDOFF_TOKENS or self.event_count:
             return ""
         router = self.daemon.engines
         engine = router.choose(self.model, self.tried, self.work, now, (PREFILL_ROLE,))
@@ -435,7 +458,7 @@
                 headers,
                 json.dumps(self.body | {"stream": False}).encode(),
                 chunks.append,
-                first_byte_timeout=idle + WAIT_MARGIN * estimate,
+                first_byte_timeout=idle + WAIT_TIMEOUT_FACTOR * estimate,
                 idle_timeout=idle,
                 total_timeout=max(idle, self.deadline - now),
             )
--- a/src/mulberrydock/connections.py
+++ b/src/mulberrydock/connections.py
@@ -1,9 +1,9 @@
-"""Kept HTTP/1.1 connections to one address, one exchange at a time on each.
+"""Pooled HTTP/1.1 connections to one address, one exchange at a time on each.
 
-Built on tornado's ``TCPClient`` and ``HTTP1Connection``; its pooled client
-keeps no connection open. An answer belongs to a request only if it names the
-request's id, so a late or second answer that sits on a kept connection never
-reaches another request.
+Built on tornado's ``TCPClient`` and ``HTTP1Connection``, as tornado's HTTP client keeps
+no connection open. A response is matched to its request by the request id that it
+names, so a late or second response on a reused connection never reaches another
+request.
 """
 
 import abc
@@ -21,58 +21,62 @@
 from ._http import split_address
 from .exceptions import ConnectionCut, ResultCode, UpstreamError
 
-#: Seconds for a new connection; a place two data centres away answers in 2 ms,
-#: a VM without power never does.
+#: Seconds for a new connection: an address two data centres away answers in 2 ms, a VM
+#: without power never does.
 CONNECT_TIMEOUT_SECONDS = 0.5
-#: Milliseconds that sent bytes may stay unacknowledged before the kernel
-#: closes the connection: a partition shows in no other way while sending.
+#: Milliseconds that sent bytes may stay unacknowledged before the kernel closes the
+#: connection; while sending, nothing else reveals a partition.
 TCP_USER_TIMEOUT_MS = 2000
-#: Seconds of idleness before keep-alive probes, between them, and how many.
+#: Seconds without traffic before keep-alive probes, seconds between probes, and their
+#: number.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-#: Seconds for which an unused connection is kept when the peer names no limit.
-IDLE_SECONDS = 10.0
-#: Seconds before the peer's stated idle limit at which we stop reusing, so
-#: that a request never crosses the peer's close.
-IDLE_MARGIN_SECONDS = 1.0
-#: Unused connections kept to one address.
-IDLE_KEPT = 8
-#: Answers to other requests that are skipped on one connection.
-STALE_ANSWERS_SKIPPED = 2
-#: Bytes of one answer's body; the platform's largest item is 1 MiB in base64.
+#: Seconds for which an idle connection is kept when the peer states no limit.
+IDLE_TIMEOUT_SECONDS = 10.0
+#: Seconds before the peer's idle limit at which a connection is no longer reused, so
+#: that no request crosses the peer's close.
+IDLE_TIMEOUT_MARGIN_SECONDS = 1.0
+#: Idle connections kept to one address.
+MAX_IDLE_CONNECTIONS = 8
+#: Responses to other requests that are skipped on one connection.
+MAX_STALE_RESPONSES = 2
+#: Bytes of a response body; the platform's largest item is 1 MiB, in base64.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
-PARAMS = tornado.http1connection.HTTP1ConnectionParameters(
+CONNECTION_PARAMS = tornado.http1connection.HTTP1ConnectionParameters(
     decompress=False, max_body_size=MAX_BODY_BYTES
 )
 
 
-class Listener(abc.ABC):
-    """Takes the parts of one answer as they arrive.
+class ResponseListener(abc.ABC):
+    """Receives the parts of one response as they arrive.
 
-    ``begun_at`` is when the answer first made progress and ``progress_at`` when it last
-    did, None before.
+    ``first_progress_at`` is when the response first made progress and
+    ``last_progress_at`` when it last did, monotonic seconds, None before.
     """
 
-    begun_at: float | None = None
-    progress_at: float | None = None
+    first_progress_at: float | None = None
+    last_progress_at: float | None = None
 
     @abc.abstractmethod
     def on_headers(self, status, headers):
-        """The final status line and headers have arrived."""
+        """Handle the final status line and headers."""
 
     @abc.abstractmethod
     def on_data(self, chunk):
-        """Body bytes have arrived; an awaitable result slows the reading."""
+        """Handle body bytes; an awaitable result delays further reading."""
 
     def check(self):
-        """The answer has ended; raise :class:`UpstreamError` if it is wrong."""
+        """Validate the response at its end.
+
+        :raises UpstreamError: when it is wrong.
+        """
 
 
 @attrs.define
-class BufferedResponse(Listener):
-    """Collects a whole answer in memory."""
+class BufferedResponse(ResponseListener):
+    """Collects a whole response in memory."""
 
     status: int = 0
     headers: tornado.httputil.HTTPHeaders | None = None
@@ -93,7 +97,7 @@
 
 class _Stream(tornado.iostream.IOStream):
     def has_unread(self):
-        """True when bytes wait that no request asked for, or the peer closed."""
+        """Return whether unrequested bytes wait, or the peer closed the connection."""
         if self._read_buffer_size:
             return True
         try:
@@ -106,11 +110,11 @@
 
 
 class _Delegate(tornado.httputil.HTTPMessageDelegate):
-    """Passes one answer on, or drops it when it names another request."""
+    """Passes one response on, or skips it when it names another request."""
 
-    def __init__(self, listener, accepts):
+    def __init__(self, listener, accept_response):
         self.listener = listener
-        self.accepts = accepts
+        self.accept_response = accept_response
         self.done = asyncio.get_running_loop().create_future()
         self.skipped = False
         self.headers = None
@@ -118,7 +122,7 @@
     def headers_received(self, start_line, headers):
         if start_line.code < 200:
             return
-        self.skipped = not self.accepts(headers)
+        self.skipped = not self.accept_response(headers)
         if self.skipped:
             return
         self.headers = headers
@@ -149,8 +153,8 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
-def _is_refusal(error):
-    """True when a connection failed as nobody listens, not for want of an answer."""
+def _is_connection_refused(error):
+    """Return whether a connection failed because nobody listens, not by a timeout."""
     if not isinstance(error, tornado.iostream.StreamClosedError):
         return False
     return error.real_error is None or isinstance(error.real_error, ConnectionError)
@@ -165,9 +169,9 @@
 
 
 class ConnectionPool:
-    """Connections to one address, for one incarnation of what listens there.
+    """Connections to one address, for one incarnation of the server there.
 
-    :param limit: connections open at once; more are refused.
+    :param limit: maximum number of open connections.
     """
 
     def __init__(self, address, limit=1000):
@@ -178,11 +182,11 @@
 
     @property
     def exhausted(self):
-        """True when every allowed connection is in use."""
+        """True when all allowed connections are in use."""
         return self.open >= self.limit and not self.idle
 
     def close(self):
-        """Close the unused connections; those in use end with their exchange."""
+        """Close the idle connections; those in use close after their exchange."""
         for connection in self.idle:
             self._discard(connection)
         self.idle.clear()
@@ -196,8 +200,8 @@
             connection = self.idle.pop()
             usable = now < connection.reusable_until
             if usable and not connection.stream.closed():
-                # Bytes that nobody asked for belong to no request; a peer
-                # that closed meanwhile would turn the send into an unknown.
+                # Unrequested bytes belong to no request, and on a connection that the
+                # peer has closed the outcome of a send would be unknown.
                 if not connection.stream.has_unread():
                     return connection
             self._discard(connection)
@@ -221,81 +225,99 @@
                 (OSError, asyncio.TimeoutError, tornado.iostream.StreamClosedError),
             ):
                 raise UpstreamError(
-                    f"connect to {self.address}: {error!r}", ResultCode.NOT_RUN
+                    f"can't connect to {self.address}: {error!r}", ResultCode.NOT_RUN
                 ) from error
             raise
         return Connection(stream)
 
     async def acquire(self, now):
-        """Return a kept connection, or a new one.
+        """Return an idle connection, or a new one.
 
-        :raises UpstreamError: NOT_RUN when none can be had.
+        :raises UpstreamError: NOT_RUN when no connection is available.
         """
         connection = self._reuse(now)
         if connection is not None:
             return connection
         if self.open >= self.limit:
             raise UpstreamError(
-                f"{self.address}: {self.open} connections in use", ResultCode.NOT_RUN
+                f"{self.address}: {self.open} of {self.limit} connections in use",
+                ResultCode.NOT_RUN,
             )
         return await self._connect()
 
-    async def accepts(self, now):
-        """Return whether the peer accepts connections, None when it doesn't say.
+    async def probe(self, now):
+        """Return whether the peer accepts connections, None when it doesn't respond.
 
-        A connection made to find out is kept for the next exchange.
+        The connection made for this is pooled for the next exchange.
         """
         try:
             connection = await self._connect()
         except UpstreamError as error:
-            return False if _is_refusal(error.__cause__) else None
-        self.release(connection, now, IDLE_SECONDS - IDLE_MARGIN_SECONDS)
+            return False if _is_connection_refused(error.__cause__) else None
+        self.release(
+            connection, now, IDLE_TIMEOUT_SECONDS - IDLE_TIMEOUT_MARGIN_SECONDS
+        )
         return True
 
-    def release(self, connection, now, keep_seconds):
-        """Keep ``connection`` for ``keep_seconds`` if it can carry another."""
+    def release(self, connection, now, idle_seconds):
+        """Pool ``connection`` for ``idle_seconds`` if it is reusable, else close it."""
         stream = connection.stream
-        full = len(self.idle) >= IDLE_KEPT
-        if full or keep_seconds <= 0 or stream.closed() or stream.has_unread():
+        full = len(self.idle) >= MAX_IDLE_CONNECTIONS
+        if full or idle_seconds <= 0 or stream.closed() or stream.has_unread():
             self._discard(connection)
             return
-        connection.reusable_until = now + keep_seconds
+        connection.reusable_until = now + idle_seconds
         self.idle.append(connection)
 
     async def exchange(
-        self, method, target, headers, body, listener, accepts=None, keep_alive=None
+        self,
+        method,
+        target,
+        headers,
+        body,
+        listener,
+        accept_response=None,
+        keep_alive=None,
     ):
-        """Send one request and feed its answer to ``listener``.
+        """Send one request and feed its response to ``listener``.
 
-        :param accepts: called with an answer's headers; False when the answer
+        :param accept_response: called with a response's headers; returns False when it
             is another request's and must be skipped.
-        :param keep_alive: called with the headers; seconds the peer lets the
-            connection idle, 0 when it closes it, None when it says nothing.
-        :raises UpstreamError: NOT_RUN when nothing was sent,
-            UPSTREAM_FAILED when the answer did not come whole.
+        :param keep_alive: called with the headers; returns the seconds for which the
+            peer lets the connection idle, 0 when it closes it, None when it states
+            nothing.
+        :raises UpstreamError: NOT_RUN when nothing was sent, UPSTREAM_FAILED when the
+            response is incomplete.
         """
         connection = await self.acquire(time.monotonic())
-        kept = False
+        reusable = False
         try:
             response_headers, complete = await self._run(
-                connection, method, target, headers, body, listener, accepts
+                connection, method, target, headers, body, listener, accept_response
+            )
+            reusable = complete and self._return_to_pool(
+                connection, response_headers, keep_alive
             )
-            kept = complete and self._keep(connection, response_headers, keep_alive)
         finally:
-            # Also on cancellation: closing tells the peer to stop its work.
-            if not kept:
+            # Also on cancellation: closing the connection tells the peer to stop its
+            # work.
+            if not reusable:
                 self._discard(connection)
 
-    def _keep(self, connection, headers, keep_alive):
+    def _return_to_pool(self, connection, headers, keep_alive):
         seconds = keep_alive(headers) if keep_alive else None
-        seconds = IDLE_SECONDS if seconds is None else seconds
-        self.release(connection, time.monotonic(), seconds - IDLE_MARGIN_SECONDS)
+        seconds = IDLE_TIMEOUT_SECONDS if seconds is None else seconds
+        self.release(
+            connection, time.monotonic(), seconds - IDLE_TIMEOUT_MARGIN_SECONDS
+        )
         return True
 
-    async def _run(self, connection, method, target, headers, body, listener, accepts):
+    async def _run(
+        self, connection, method, target, headers, body, listener, accept_response
+    ):
         stream = connection.stream
-        accepts = accepts or (lambda _: True)
-        http = tornado.http1connection.HTTP1Connection(stream, True, PARAMS)
+        accept_response = accept_response or (lambda _: True)
+        http = tornado.http1connection.HTTP1Connection(stream, True, CONNECTION_PARAMS)
         start = tornado.httputil.RequestStartLine(method, target, "HTTP/1.1")
         try:
             http.write_headers(start, tornado.httputil.HTTPHeaders(headers))
@@ -303,43 +325,51 @@
                 http.write(body)
             http.finish()
         except tornado.iostream.StreamClosedError as error:
-            raise ConnectionCut(f"{self.address} cut: {error}") from error
-        for _ in range(1 + STALE_ANSWERS_SKIPPED):
-            delegate = _Delegate(listener, accepts)
-            whole, reading = await self._read(http, delegate)
-            if not whole:
+            raise ConnectionCut(
+                f"{self.address} closed the connection while the request was sent: "
+                f"{error}"
+            ) from error
+        for _ in range(1 + MAX_STALE_RESPONSES):
+            delegate = _Delegate(listener, accept_response)
+            complete, read_task = await self._read(http, delegate)
+            if not complete:
                 break
             if not delegate.skipped:
-                # The end of an unframed body and a reset look alike to the
-                # reader; only the socket's error tells them apart.
+                # To the reader, the end of an unframed body and a reset look alike;
+                # only the socket's error distinguishes them.
                 if stream.error is not None:
                     break
-                return delegate.headers, reading.done() and not stream.closed()
-            http = tornado.http1connection.HTTP1Connection(stream, True, PARAMS)
+                return delegate.headers, read_task.done() and not stream.closed()
+            http = tornado.http1connection.HTTP1Connection(
+                stream, True, CONNECTION_PARAMS
+            )
             http.finish()
-        raise ConnectionCut(f"{self.address} cut the answer")
+        raise ConnectionCut(
+            f"{self.address} closed the connection before the response was complete"
+        )
 
     async def _read(self, http, delegate):
-        reading = asyncio.ensure_future(http.read_response(delegate))
-        reading.add_done_callback(functools.partial(_reading_done, delegate))
+        read_task = asyncio.ensure_future(http.read_response(delegate))
+        read_task.add_done_callback(functools.partial(_on_read_done, delegate))
         try:
-            whole = await delegate.done
-            if whole:
-                # The answer may be complete before our request is fully read;
-                # then the connection can't carry another one.
+            complete = await delegate.done
+            if complete:
+                # The response may be complete before the request has been read; such a
+                # connection can't be reused. One turn of the loop lets the read task
+                # end.
                 await asyncio.sleep(0)
-            return whole, reading
+            return complete, read_task
         except asyncio.CancelledError:
-            reading.cancel()
+            read_task.cancel()
             raise
 
 
-def _reading_done(delegate, reading):
-    """End the wait for an answer when its reader ended without one."""
-    if reading.cancelled():
+def _on_read_done(delegate, read_task):
+    """End the wait for a response when its reader ended without one."""
+    if read_task.cancelled():
         delegate.on_connection_close()
         return
-    # Taken here so that the loop doesn't report it as never retrieved; the
-    # delegate's end is what the sender acts on.
-    reading.exception()
+    # Retrieved so that the loop doesn't report it as never retrieved; the sender acts
+    # on the end of the delegate.
+    read_task.exception()
     delegate.on_connection_close()
--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -1,7 +1,7 @@
-"""The quarantine of work that crashes instances, as the entry's own front uses it.
+"""The quarantine of work that crashes upstreams, as the entry daemon uses it.
 
-Engines and services have fixed names here and no incarnations: each crash under a call
-counts by itself.
+Upstreams have fixed names there and no incarnations: each crash under a call counts by
+itself.
 """
 
 import time
@@ -16,39 +16,43 @@
 
 @attrs.define
 class CrashGuard:
-    """Knows the work that crashes upstreams; ``keeper`` writes it to the store."""
+    """Quarantines work that crashes upstreams; ``sync`` writes it to the store."""
 
     quarantine: Quarantine
-    keeper: QuarantineSync
+    sync: QuarantineSync
 
     @classmethod
     def from_store(cls, store, name, is_leader):
         """Build over ``store`` for the entry called ``name``.
 
-        :param is_leader: returns True at the one entry that removes what is old.
+        :param is_leader: returns True at the one entry that removes expired records.
         """
         quarantine = Quarantine()
         return cls(quarantine, QuarantineSync(quarantine, store, name, is_leader))
 
     def is_quarantined(self, work):
-        """True when ``work``, a fingerprint, must not be sent to any upstream."""
+        """Return whether ``work``, a fingerprint, must not be sent to any upstream."""
         return self.quarantine.is_quarantined(work, time.monotonic())
 
-    async def failed(self, work, upstream, call, error):
-        """A call for ``work`` failed with ``error``: note it if the upstream crashed.
+    async def record_failure(self, work, upstream, call, error):
+        """Record a failed call for ``work`` if the upstream crashed under it.
 
-        :param call: a name of the call that no other has.
+        :param call: a unique name of the call.
+        :param error: the error with which the call failed.
         """
         if not isinstance(error, ConnectionCut):
             return
         pool = ConnectionPool(upstream.address)
-        accepts = await pool.accepts(time.monotonic())
+        accepts = await pool.probe(time.monotonic())
         pool.close()
         if accepts is False:
             self.quarantine.record_crash(
                 work, f"{upstream.name}/{call}", time.monotonic()
             )
 
-    def ended(self, work, served):
-        """The request for ``work`` is over; ``served`` when it was answered."""
+    def record_request_end(self, work, served):
+        """Record the end of a request for ``work``.
+
+        :param served: whether it was answered with success.
+        """
         self.quarantine.record_request_end(work, served, time.monotonic())
--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -1,10 +1,10 @@
 """The entry daemon: HTTP for callers, routing to engines and services.
 
-Callers ask ``GET /v1/entries`` which entry VMs to use and keep the answer
-for ``ttl_seconds``. Language requests (OpenAI-compatible completions and
-chat completions, whole or streamed) go to an engine that runs the model;
-``/v1/services/<kind>/<route>`` goes to an application service, with an
-idempotency record in the store before any non-idempotent call.
+Callers ask ``GET /v1/entries`` which entry VMs to use and cache the response for
+``ttl_seconds``. Language requests (OpenAI-compatible completions and chat completions,
+whole or streamed) go to an engine that runs the model; ``/v1/services/<kind>/<route>``
+goes to an application service, with an idempotency record in the store before any
+non-idempotent call.
 """
 
 import asyncio
@@ -31,8 +31,8 @@
 from .vm_list import VmList
 from .watch import PrefixWatch
 
-#: Seconds a drain waits for records that an outage left unsettled.
-SETTLE_TIMEOUT_SECONDS = 5.0
+#: Seconds for which a drain waits for records that an outage left unconfirmed.
+BACKGROUND_TASK_TIMEOUT_SECONDS = 5.0
 
 
 class EntryDaemon:
@@ -57,15 +57,15 @@
         self.record_leases = RecordLeases(
             store, settings.deployment.idempotency_retention_seconds
         )
-        self.crashes = CrashGuard.from_store(store, entry.name, self._first_entry)
+        self.crashes = CrashGuard.from_store(store, entry.name, self._is_first_entry)
         self.crash_watch = PrefixWatch(
             store,
             defaults.CRASH_PREFIX,
-            self.crashes.keeper.apply,
+            self.crashes.sync.apply,
             self.crashes.quarantine.begin_reload,
             self.crashes.quarantine.finish_reload,
         )
-        self.settling = set()
+        self.background_tasks = set()
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
         self.loads = LoadPoller(self.engines)
         self.config = ConfigFollower(store, settings, self._on_config)
@@ -104,8 +104,8 @@
             )
         self.metrics.config_version.set(version)
 
-    def _first_entry(self):
-        """True at one entry: the first by name of those that are registered."""
+    def _is_first_entry(self):
+        """Return whether this entry is the first, by name, of those registered."""
         return self.entry.name == min([*self.membership.peers, self.entry.name])
 
     def _on_vm_list(self, leaving):
@@ -113,11 +113,11 @@
         for router in self.services.values():
             router.set_listed_leaving(leaving)
 
-    def settle(self, coroutine):
-        """Run ``coroutine`` apart from its request; a drain waits for it."""
+    def run_in_background(self, coroutine):
+        """Run ``coroutine`` independently of its request; a drain waits for it."""
         task = asyncio.ensure_future(coroutine)
-        self.settling.add(task)
-        task.add_done_callback(self.settling.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     def _on_plan(self, key, value, version):
         held = set()
@@ -126,15 +126,15 @@
         self.engines.cordoned = held
 
     def leaving_vms(self):
-        """VMs that the configuration declares or the VM list shows as leaving."""
+        """Return the VMs that the configuration or the VM list shows as leaving."""
         return set(self.config.declared.leaving) | self.vm_list.leaving
 
     def leaving(self):
-        """True when this entry must take no new work."""
+        """Return whether this entry must take no new work."""
         return self.draining or self.entry.name in self.leaving_vms()
 
     def entry_list(self):
-        """Entries to offer callers: registered and not leaving."""
+        """Return the entries to offer callers: registered and not leaving."""
         leaving = self.leaving_vms()
         peers = dict(self.membership.peers)
         if not self.draining:
@@ -147,15 +147,15 @@
             if name not in leaving
         ]
 
-    def started(self):
-        """Count a request in."""
+    def begin_request(self):
+        """Count a request as in flight."""
         self.engines.policy.entries = max(1, len(self.membership.peers))
         self.in_flight += 1
         self.idle.clear()
         self.metrics.in_flight.set(self.in_flight)
 
-    def finished(self):
-        """Count a request out."""
+    def end_request(self):
+        """Remove a request from the count of those in flight."""
         self.in_flight -= 1
         self.metrics.in_flight.set(self.in_flight)
         if self.in_flight == 0:
@@ -198,7 +198,7 @@
             asyncio.ensure_future(self.peer_config.run()),
             asyncio.ensure_future(self.plan.run()),
             asyncio.ensure_future(self.crash_watch.run()),
-            asyncio.ensure_future(self.crashes.keeper.run()),
+            asyncio.ensure_future(self.crashes.sync.run()),
             asyncio.ensure_future(self.vm_list.run()),
             asyncio.ensure_future(self.loads.poll_loads()),
             asyncio.ensure_future(self.loads.poll_events()),
@@ -210,10 +210,11 @@
             task.cancel()
 
     async def drain(self, server, now):
-        """Graceful stop: stop offering this entry, finish in-flight work, leave.
+        """Stop gracefully: stop offering this entry, finish in-flight requests,
+        deregister.
 
-        New requests during the drain get ``DRAINING`` with ``Retry-After: 0``
-        (they did not run), so callers re-ask the entry list elsewhere.
+        New requests during the drain get ``DRAINING`` with ``Retry-After: 0`` (they
+        have not run), so callers ask another entry for the entry list.
         """
         self.draining = True
         logger.info("entry draining", in_flight=self.in_flight)
@@ -225,8 +226,10 @@
             )
         except asyncio.TimeoutError:
             logger.warning("drain timed out", in_flight=self.in_flight)
-        if self.settling:
-            await asyncio.wait(self.settling, timeout=SETTLE_TIMEOUT_SECONDS)
+        if self.background_tasks:
+            await asyncio.wait(
+                self.background_tasks, timeout=BACKGROUND_TASK_TIMEOUT_SECONDS
+            )
         server.stop()
         await self.membership.leave()
         logger.info("entry stopped")
--- a/src/mulberrydock/front.py
+++ b/src/mulberrydock/front.py
@@ -1,4 +1,4 @@
-"""The client-facing HTTP server: reads whole requests, hands them to a relay."""
+"""The client-facing HTTP server: reads whole requests and passes them to a relay."""
 
 import asyncio
 
@@ -7,15 +7,15 @@
 
 from .ports import Sink
 
-#: Reason phrases come with the status; an unknown code gets a neutral one.
+#: Reason phrase of a status code without a standard one.
 UNKNOWN_REASON = "Unknown"
 
 
 class ConnectionSink(Sink):
     """Answers one request on its client connection.
 
-    :param closing: returns True when the client should open a new connection
-        elsewhere for its next request.
+    :param closing: returns True when the client should open a new connection elsewhere
+        for its next request.
     """
 
     def __init__(self, connection, closing):
@@ -57,7 +57,8 @@
 
 
 class RequestReader(tornado.httputil.HTTPMessageDelegate):
-    """Reads one request; on its end starts the relay, on a close cancels it."""
+    """Reads one request, starts the relay at its end, cancels it when the client
+    leaves."""
 
     def __init__(self, front, connection):
         self.front = front
@@ -82,13 +83,13 @@
         self.connection.set_close_callback(self.on_connection_close)
 
     def on_connection_close(self):
-        # The client has left: nothing may work for it any more.
+        # The client has left: all work for it stops.
         if self.task is not None:
             self.task.cancel()
 
 
 class Front(tornado.httputil.HTTPServerConnectionDelegate):
-    """Accepts client requests and counts those in progress.
+    """Accepts client requests and tracks those in progress.
 
     :param relay: a :class:`~mulberrydock.relay.Relay`.
     :param clock: returns the present time, monotonic seconds.
@@ -103,14 +104,14 @@
         self.tasks = set()
 
     def closing(self):
-        """True while this VM is leaving: connections should move elsewhere."""
+        """Return whether this VM is leaving and clients should connect elsewhere."""
         return self.draining
 
     def start_request(self, server_conn, request_conn):
         return RequestReader(self, request_conn)
 
     def start(self, start_line, headers, body, sink):
-        """Begin serving one whole request; return its task."""
+        """Start serving one whole request; return its task."""
         request = self.wire.read_request(start_line, headers, body, self.clock())
         task = asyncio.ensure_future(self._serve(request, sink))
         self.tasks.add(task)
@@ -119,7 +120,7 @@
 
     async def _serve(self, request, sink):
         if self.refusing:
-            # The client has other addresses and may come back at once.
+            # The client has other addresses and may retry there at once.
             self.relay.reject(request, sink, 503, "stopping", 0.0)
             return
         try:
@@ -128,8 +129,9 @@
             # The relay has logged that the client left.
             sink.abort()
         except Exception:
-            # A fault of this process: the client must not wait for nothing,
-            # and whether an upstream ran the request is unknown.
+            # A fault of this process: the connection is closed so that the client
+            # doesn't wait, and as it is unknown whether an upstream ran the request, no
+            # status is sent.
             logger.exception("request fault", request=request.id)
             if sink.done:
                 return
--- a/src/mulberrydock/handlers.py
+++ b/src/mulberrydock/handlers.py
@@ -1,8 +1,8 @@
-"""HTTP handlers of the entry daemon: what callers and operators may ask.
+"""HTTP handlers of the entry daemon, for callers and operators.
 
-Every handler holds the :class:`~mulberrydock.entry.EntryDaemon` it serves.
-A request that does work is counted in flight, so that a drain waits for it,
-and timed per tenant and class.
+Every handler holds the :class:`~mulberrydock.entry.EntryDaemon` it serves. A request
+that does work is counted as in flight, so that a drain waits for it, and timed per
+tenant and class.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from .idempotency import IdempotentCall
 from .refusal import QUARANTINE_RETRY_SECONDS
 
-#: HTTP status of a language request that no engine answered: 503 only when
-#: it ran nowhere.
+#: HTTP status of a language request that no engine answered: 503 only when it has not
+#: run.
 UNSERVED_STATUS = {
     ResultCode.NO_UPSTREAM: 503,
     ResultCode.QUARANTINED: 503,
@@ -28,13 +28,13 @@
 class _EntryHandler(JsonHandler):
     def initialize(self, daemon):
         self.daemon = daemon
-        self.gone = False
+        self.caller_left = False
 
     def on_connection_close(self):
-        self.gone = True
+        self.caller_left = True
 
     def write_error(self, status_code, **kwargs):
-        """Answer a fault of this entry with a result code, not tornado's page."""
+        """Answer an error of this entry with a result code, not tornado's page."""
         if status_code >= 500:
             self.code = ResultCode.INTERNAL
             self.refuse(status_code, self.code, "the entry failed; see its log")
@@ -43,7 +43,10 @@
             self.refuse(status_code, self.code, self._reason)
 
     def refuse(self, status, code, message, retry_after=None):
-        """Answer with an error document and its result code."""
+        """Answer with an error document and its result code.
+
+        :param retry_after: seconds for the ``Retry-After`` header, None for no header.
+        """
         if retry_after is not None:
             self.set_header("Retry-After", str(retry_after))
         self.send_json(
@@ -53,7 +56,8 @@
         )
 
     def tenant_and_class(self):
-        """Return ``(tenant, PriorityClass)``; the lowest class if none is named."""
+        """Return ``(tenant, PriorityClass)``; the lowest class if the request names
+        none."""
         tenant = self.request.headers.get(
             defaults.TENANT_HEADER, defaults.DEFAULT_TENANT
         )
@@ -65,7 +69,7 @@
 
 
 class EntriesHandler(_EntryHandler):
-    """``GET /v1/entries``: the entry VMs to use and how long to keep the list."""
+    """``GET /v1/entries``: the entry VMs to use and how long to cache the list."""
 
     def get(self):
         self.send_json(
@@ -112,7 +116,7 @@
 
 
 class _ServingHandler(_EntryHandler):
-    """A request counted in flight and timed per tenant and class."""
+    """A request that is counted as in flight and timed per tenant and class."""
 
     counted = False
     observed = False
@@ -122,7 +126,8 @@
         self.code = ResultCode.OK
         self.tenant, self.klass = self.tenant_and_class()
         if not self.daemon.config.version:
-            # Which engine runs what, and who is leaving, is not known yet.
+            # It isn't known yet which engine runs which model, and which VMs are
+            # leaving.
             self.code = ResultCode.NOT_READY
             self.refuse(503, self.code, "no configuration yet", retry_after=1)
             return
@@ -130,7 +135,7 @@
             self.code = ResultCode.DRAINING
             self.refuse(503, ResultCode.DRAINING, "entry is draining", retry_after=0)
             return
-        self.daemon.started()
+        self.daemon.begin_request()
         self.counted = True
 
     def on_finish(self):
@@ -138,7 +143,7 @@
             return
         self.observed = True
         if self.counted:
-            self.daemon.finished()
+            self.daemon.end_request()
         metrics = self.daemon.metrics
         metrics.latency.labels(
             metrics.tenant_label(self.tenant), self.klass.name, self.code.name
@@ -158,7 +163,7 @@
     def on_connection_close(self):
         super().on_connection_close()
         if self.task is not None:
-            # The caller left: closing the upstream connection frees the engine.
+            # The caller left: closing the upstream connection stops the engine's work.
             self.task.cancel()
 
     async def post(self, route):
@@ -167,7 +172,7 @@
             return
         completion = Completion.from_request(self, route, body)
         self.set_header(defaults.REQUEST_ID_HEADER, completion.request_id)
-        decision = completion.admission(time.monotonic())
+        decision = completion.decide_admission(time.monotonic())
         if not decision.admitted:
             self.code = ResultCode.SHED
             message = "the engines can't answer this class in time now"
@@ -177,7 +182,7 @@
         try:
             self.code = await self.task
         except asyncio.CancelledError:
-            if not self.gone:
+            if not self.caller_left:
                 raise
             self.code = ResultCode.CALLER_GONE
             return
@@ -197,7 +202,7 @@
             )
 
     def _body(self):
-        """The parsed request body; None, and refused, when it is malformed."""
+        """Return the parsed request body, None after refusing a malformed one."""
         try:
             body = json.loads(self.request.body or b"{}")
             int(body.get("max_tokens", 0))
@@ -209,7 +214,7 @@
 
 
 class ServiceHandler(_ServingHandler):
-    """``/v1/services/<kind>/<route>`` to an application service instance."""
+    """``/v1/services/<kind>/<route>``: calls to an application service instance."""
 
     async def get(self, kind, route):
         await self._forward(kind, route)
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -1,10 +1,10 @@
-"""At-most-once calls to application services through idempotency records.
+"""At-most-once calls to application services, by idempotency records.
 
-Before a non-idempotent call (a renewal record, a playlist ticket) the entry
-creates ``idempotency/<tenant>/<kind>/<key>`` by compare-and-swap, then calls
-the service once, then stores the answer in the record. A repeat of the key
-gets the stored answer. "Not run" is answered only when the call provably
-was not sent: the record could not be made, or no connection was opened.
+Before a non-idempotent call (a renewal record, a playlist ticket) the entry creates
+``idempotency/<tenant>/<kind>/<key>`` by compare-and-swap, then calls the service once,
+then stores the response in the record. A repeat of the key gets the stored response.
+"Not run" is answered only when the call provably was not sent: the record could not be
+created, or no connection was opened.
 """
 
 import asyncio
@@ -20,21 +20,22 @@
 from .request import fingerprint
 from .routing import Work
 
-#: Times the final record write is tried before it is left to a later read.
+#: Attempts to write the final record before it is left to a later read.
 COMPLETE_ATTEMPTS = 20
-#: Times a claim is tried against conflicts and lost answers.
+#: Attempts to claim a key, against conflicts and lost answers of the store.
 CLAIM_ATTEMPTS = 5
-#: Times, a store retry pause apart, that an abandoned claim is looked for.
-ABANDON_ATTEMPTS = 480
+#: Checks for an abandoned claim, a store retry pause apart.
+RESOLVE_ATTEMPTS = 480
 #: Multiple of the class deadline after which a started call has ended.
 CALL_LIMIT_FACTOR = 3.0
-#: Service calls that are safe to repeat; all others need an idempotency key.
+#: Methods of calls that are safe to repeat; others need an idempotency key.
 SAFE_METHODS = ("GET", "HEAD")
 
 
 @attrs.define
 class Outcome:
-    """The answer for the caller: HTTP status, result code, body bytes."""
+    """The response to the caller: HTTP status, result code, body, ``Retry-After``
+    seconds."""
 
     status: int
     code: ResultCode
@@ -56,14 +57,14 @@
 
 
 class RecordLeases:
-    """Leases that end old idempotency records.
+    """Leases that expire old idempotency records.
 
-    One lease serves all records that this entry makes within half of the
-    retention time, so a record costs no lease call of its own and lives for
-    at least the retention time.
+    One lease serves all records that this entry creates within half of the retention
+    time, so a record needs no lease call of its own and lives for at least the
+    retention time.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
-    :param retention_seconds: least life of a record.
+    :param retention_seconds: minimum life of a record.
     """
 
     def __init__(self, store, retention_seconds):
@@ -73,7 +74,8 @@
         self.granted_at = 0.0
 
     async def current(self, now):
-        """Return the lease for records made at ``now``; None without a store."""
+        """Return the lease for records created at ``now``, None while the store is
+        unavailable."""
         age = now - self.granted_at
         if self.lease is None or age >= self.retention_seconds / 2:
             granted = await self.store.grant(self.retention_seconds * 1.5)
@@ -82,8 +84,8 @@
             self.lease, self.granted_at = granted.ok, now
         return self.lease
 
-    def forget(self):
-        """Take a new lease for the next record."""
+    def invalidate(self):
+        """Request a new lease for the next record."""
         self.lease = None
 
 
@@ -91,7 +93,7 @@
 class IdempotentCall:
     """One call to a service instance, with an idempotency record when needed.
 
-    ``fingerprint`` names the work that the call asks for, by whichever attempt.
+    ``fingerprint`` identifies the work that the call asks for, in all its attempts.
     """
 
     daemon: object
@@ -128,7 +130,7 @@
         return f"{defaults.IDEMPOTENCY_PREFIX}{self.tenant}/{self.kind}/{self.key}"
 
     def idempotent(self):
-        """True for calls that may be repeated: reads and declared-safe routes."""
+        """Return whether the call may be repeated: reads and routes declared safe."""
         if self.method in SAFE_METHODS:
             return True
         first = self.route.split("/", 1)[0]
@@ -150,12 +152,12 @@
             outcome = await self._run(now)
         finally:
             served = outcome is not None and outcome.status < 400
-            crashes.ended(self.fingerprint, served)
+            crashes.record_request_end(self.fingerprint, served)
         return outcome
 
     async def _run(self, now):
         if self.idempotent():
-            return await self._call_any(now)
+            return await self._call_with_retry(now)
         if not self.key:
             return _error(
                 400,
@@ -181,13 +183,16 @@
         )
 
     async def _claim(self):
-        """Create the record; return its version, or the Outcome to answer now."""
+        """Create the record.
+
+        :returns: its version, or the :class:`Outcome` to answer with at once.
+        """
         store = self.daemon.store
         expect = 0
         for _ in range(CLAIM_ATTEMPTS):
             lease = await self.daemon.record_leases.current(time.monotonic())
             if lease is None:
-                # An outage, or the lost answer of a grant: nothing is claimed.
+                # An outage, or a lost answer to the grant: nothing is claimed.
                 continue
             written = await store.put(
                 self.record_key, self._record("started"), expect, lease
@@ -196,12 +201,12 @@
                 return written.ok
             if isinstance(written.error, VersionConflict):
                 if written.error.current == expect:
-                    # Refused for the lease: it ended at the store.
-                    self.daemon.record_leases.forget()
-            # A conflict or a lost answer: re-read to learn who holds the key.
+                    # Refused because of the lease: it has expired at the store.
+                    self.daemon.record_leases.invalidate()
+            # A conflict or a lost answer: read again to find out who holds the key.
             read = await store.get(self.record_key)
             if read.is_error():
-                self.daemon.settle(self._abandon())
+                self.daemon.run_in_background(self._resolve_abandoned_claim())
                 return _error(503, ResultCode.NOT_RUN, "store unavailable", 1)
             if read.ok is None:
                 expect = 0
@@ -210,13 +215,16 @@
             if found.attempt == self.attempt:
                 return read.ok.version
             if str(found.state) != "notRun":
-                return self._answer_of(found, time.time())
+                return self._outcome_of_repeat(found, time.time())
             expect = read.ok.version
-        self.daemon.settle(self._abandon())
+        self.daemon.run_in_background(self._resolve_abandoned_claim())
         return _error(503, ResultCode.NOT_RUN, "could not record the call", 1)
 
-    def _answer_of(self, found, wall_now):
-        """The Outcome for a repeat of a call that another attempt has made."""
+    def _outcome_of_repeat(self, found, wall_now):
+        """Return the :class:`Outcome` for a repeat of another attempt's call.
+
+        :param wall_now: Unix time, seconds.
+        """
         if str(found.state) == "done":
             return Outcome(found.status, ResultCode.REPLAYED, bytes(found.body))
         if wall_now - found.createdAt < CALL_LIMIT_FACTOR * self.deadline_seconds:
@@ -226,23 +234,23 @@
                 "an earlier call with this key has not ended",
                 defaults.RETRY_AFTER_SECONDS,
             )
-        # Its entry died in the middle of the call, which may have run: it is
-        # never made again, and the caller is told so rather than kept waiting.
+        # Its entry died during the call, which may have run: the call is never made
+        # again, and the caller is told so instead of being kept waiting.
         return _error(
             502,
             ResultCode.OUTCOME_UNKNOWN,
             "an earlier call with this key may have run",
         )
 
-    async def _abandon(self):
-        """Settle a claim whose write may have taken effect, after an outage.
+    async def _resolve_abandoned_claim(self):
+        """Resolve a claim whose write is unconfirmed, after an outage of the store.
 
-        The caller was told NOT_RUN. If the claim is in the store after all,
-        a repeat of the key would find a call in progress that nobody makes,
-        and the renewal would be lost; so the record is marked as not run.
+        The caller got NOT_RUN. If the claim reached the store after all, a repeat of
+        the key would find a call in progress that nobody makes, and the renewal would
+        be lost; so the record is marked as not run.
         """
         store = self.daemon.store
-        for _ in range(ABANDON_ATTEMPTS):
+        for _ in range(RESOLVE_ATTEMPTS):
             read = await store.get(self.record_key)
             if read.is_ok():
                 if read.ok is None:
@@ -250,10 +258,10 @@
                 found = records.decode(records.IdempotencyRecord, read.ok.value)
                 if found.attempt != self.attempt or str(found.state) != "started":
                     return
-                await self._put("notRun", read.ok.version)
+                await self._write_record("notRun", read.ok.version)
             await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
 
-    async def _put(self, state, version, status=0, body=b""):
+    async def _write_record(self, state, version, status=0, body=b""):
         lease = await self.daemon.record_leases.current(time.monotonic())
         return await self.daemon.store.put(
             self.record_key, self._record(state, status, body), version, lease or 0
@@ -267,11 +275,11 @@
         try:
             status, body = await self._send(service)
         except UpstreamError as error:
-            await self._examine(service, error)
+            await self._record_failure(service, error)
             if error.code == ResultCode.NOT_RUN:
                 await self._complete(version, "notRun")
                 return _error(503, ResultCode.NOT_RUN, str(error), 1)
-            # The request was sent: it may have run. Keep the record started.
+            # The request was sent and may have run: the record stays "started".
             return _error(502, ResultCode.OUTCOME_UNKNOWN, str(error))
         await self._complete(version, "done", status, body)
         return Outcome(status, ResultCode.OK, body)
@@ -279,11 +287,11 @@
     async def _complete(self, version, state, status=0, body=b""):
         store = self.daemon.store
         for _ in range(COMPLETE_ATTEMPTS):
-            written = await self._put(state, version, status, body)
+            written = await self._write_record(state, version, status, body)
             if written.is_ok():
                 return True
             if isinstance(written.error, VersionConflict):
-                # Our earlier write took effect but its answer was lost.
+                # The earlier write took effect but its answer was lost.
                 read = await store.get(self.record_key)
                 if read.is_ok() and read.ok is not None:
                     found = records.decode(records.IdempotencyRecord, read.ok.value)
@@ -293,7 +301,7 @@
             await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
         return False
 
-    async def _call_any(self, now):
+    async def _call_with_retry(self, now):
         tried = set()
         may_have_run = False
         router = self.daemon.services[self.kind]
@@ -307,7 +315,7 @@
             except UpstreamError as error:
                 router.record_failure(service, time.monotonic())
                 may_have_run |= error.code != ResultCode.NOT_RUN
-                await self._examine(service, error)
+                await self._record_failure(service, error)
                 if self.daemon.crashes.is_quarantined(self.fingerprint):
                     break
                 continue
@@ -317,10 +325,10 @@
             return _error(502, ResultCode.UPSTREAM_FAILED, message)
         return _error(503, ResultCode.NO_UPSTREAM, "no instance answered", 1)
 
-    async def _examine(self, service, error):
-        """Note a failed call if its instance crashed under it."""
+    async def _record_failure(self, service, error):
+        """Record a failed call if its instance crashed under it."""
         call = f"{self.attempt}/{uuid.uuid4().hex}"
-        await self.daemon.crashes.failed(self.fingerprint, service, call, error)
+        await self.daemon.crashes.record_failure(self.fingerprint, service, call, error)
 
     async def _send(self, service):
         chunks = []
--- a/src/mulberrydock/pages.py
+++ b/src/mulberrydock/pages.py
@@ -1,4 +1,4 @@
-"""The pages of an entry VM: whether it is ready, which VMs to use, its metrics."""
+"""The HTTP pages of an entry VM: readiness, the VMs to use, metrics."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 from . import platform
 
-#: Seconds for which clients may keep an answer of the directory. A third of
-#: the clients keeps it three times as long, and a stopping VM takes requests
-#: that long, so it has to be well inside the share of the grace below.
+#: Seconds for which clients may cache the directory's response. A third of the clients
+#: caches it three times as long, and a stopping VM takes requests for that long, so it
+#: has to be well within the part of the grace period in which a stopping VM still does.
 ANSWER_TTL_SECONDS = 1.0
 
 
@@ -25,7 +25,7 @@
 
 
 class ResolvePage(_Page):
-    """Tells a client which entry VMs to use."""
+    """Returns the addresses of the entry VMs that a client should use."""
 
     def get(self):
         daemon = self.daemon
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -1,44 +1,45 @@
 """What the relay needs from the outside, as abstract base classes.
 
-An adapter implements :class:`Wire` for the headers and engine calls of one
-platform; a front implements :class:`Sink` for one client connection.
+An adapter implements :class:`Wire` for the headers and engine calls of one platform; a
+front implements :class:`Sink` for one client connection.
 """
 
 import abc
 
 
 class Wire(abc.ABC):
-    """Names and formats of requests and answers; decides nothing."""
+    """Names and formats of requests and responses; makes no decisions."""
 
     @abc.abstractmethod
     def read_request(self, start_line, headers, body, now):
         """Return the :class:`~mulberrydock.request.Request` of a client.
 
+        :param now: time of its arrival, monotonic seconds.
         :raises BadRequest: when the request can't be one of a client.
         """
 
     @abc.abstractmethod
     def upstream_headers(self, request, options):
-        """Return the headers of one send, from :class:`SendOptions`."""
+        """Return the headers of one send, from its :class:`SendOptions`."""
 
     @abc.abstractmethod
     def read_metadata(self, headers):
-        """Return the :class:`~mulberrydock.request.ResponseMetadata` of an answer."""
+        """Return the :class:`~mulberrydock.request.ResponseMetadata` of a response."""
 
     @abc.abstractmethod
     def response_headers(self, headers):
-        """Return an answer's headers to pass on, as (name, value) pairs."""
+        """Return the headers of a response to pass on, as (name, value) pairs."""
 
     @abc.abstractmethod
     def read_handle(self, address, body):
-        """Return the :class:`~mulberrydock.request.KvHandle` of a prefill answer.
+        """Return the :class:`~mulberrydock.request.KvHandle` of a prefill response.
 
-        :raises UpstreamError: when the body isn't such an answer.
+        :raises UpstreamError: when the body isn't such a response.
         """
 
     @abc.abstractmethod
     def release_call(self, handle):
-        """Return the :class:`UpstreamCall` that frees ``handle``."""
+        """Return the :class:`UpstreamCall` that releases ``handle``."""
 
     @abc.abstractmethod
     def report_call(self, record):
@@ -48,40 +49,40 @@
     def read_report(self, body):
         """Return the :class:`~mulberrydock.instances.EngineReport` in ``body``.
 
-        :raises UpstreamError: when the body isn't such an answer.
+        :raises UpstreamError: when the body isn't such a response.
         """
 
     @abc.abstractmethod
     def stage_order_call(self, record, stage, orders, holder, token):
         """Return the :class:`UpstreamCall` that orders a stage.
 
-        :param record: the engine's :class:`InstanceRecord`; the order is void
-            once the engine restarted.
-        :param orders: the engine's order count on which this was decided; the
-            order is void once it took another one.
+        :param record: the engine's :class:`InstanceRecord`; the order is void once the
+            engine has restarted.
+        :param orders: the engine's order count on which this was decided; the order is
+            void once the engine has accepted another one.
         :param token: the fencing token of ``holder``.
         """
 
 
 class Sink(abc.ABC):
-    """Where the answer to one client request goes."""
+    """Where the response to one client request goes."""
 
     @abc.abstractmethod
     def respond(self, status, headers, body):
-        """Send a whole answer; ``headers`` are (name, value) pairs."""
+        """Send a whole response; ``headers`` are (name, value) pairs."""
 
     @abc.abstractmethod
     def begin(self, status, headers):
-        """Begin a streamed answer."""
+        """Begin a streamed response."""
 
     @abc.abstractmethod
     def write(self, chunk):
-        """Send a part of a streamed answer; return an awaitable for flow control."""
+        """Send a part of a streamed response; return an awaitable for flow control."""
 
     @abc.abstractmethod
     def finish(self):
-        """End a streamed answer as complete."""
+        """End a streamed response as complete."""
 
     @abc.abstractmethod
     def abort(self):
-        """End a streamed answer so that it can't pass as complete."""
+        """End a streamed response so that it can't pass as complete."""
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -1,4 +1,5 @@
-"""One call to a prefill engine that reads a request's prompt and keeps its KV cache."""
+"""Prefills a request's prompt on a prefill engine, which holds the KV cache for a
+decode engine."""
 
 import asyncio
 import time
@@ -12,19 +13,19 @@
 from .exceptions import CallRefused, ConnectionCut, ResultCode, UpstreamError
 from .request import SendOptions
 
-#: Seconds for a prefill answer beyond the estimate. A prompt that is given up
-#: while it waits has to wait again elsewhere; an engine that is gone is noticed
-#: by its connection first.
-PREFILL_SECONDS = 1.0
-#: Multiple of the estimated wait that an engine may take.
-WAIT_MARGIN = 2.0
+#: Seconds, beyond the estimated wait, for the response to a prefill call. A prompt that
+#: is abandoned in an engine's queue has to queue again elsewhere; a terminated engine
+#: is noticed earlier, as its connection ends.
+PREFILL_TIMEOUT_MARGIN_SECONDS = 1.0
+#: Multiple of the estimated wait after which a call times out.
+WAIT_TIMEOUT_FACTOR = 2.0
 
 
 @attrs.define
-class Prefill:
-    """A prefill as ``plan`` says; :meth:`run` makes the call.
+class PrefillCall:
+    """A prefill call according to ``plan``; :meth:`run` makes it.
 
-    :param relay: the :class:`~mulberrydock.relay.Relay` to call over.
+    :param relay: the :class:`~mulberrydock.relay.Relay` that sends the call.
     :param service: name of the pool's service.
     """
 
@@ -35,19 +36,19 @@
 
     @property
     def engine(self):
-        """The engine that reads the prompt."""
+        """The engine that prefills the prompt."""
         return self.plan.prefill
 
     @property
     def fleet(self):
-        """What this VM believes of its fleet."""
+        """The :class:`~mulberrydock.fleet_view.FleetView` of this VM."""
         return self.relay.fleet
 
-    async def run(self, left):
+    async def run(self, seconds_left):
         """Return the :class:`~mulberrydock.request.KvHandle` of the prompt.
 
-        :param left: seconds until the request's deadline.
-        :raises UpstreamError: when the engine doesn't give one.
+        :param seconds_left: seconds until the request's deadline.
+        :raises UpstreamError: when the engine returns none.
         """
         plan, started = self.plan, time.monotonic()
         logger.info(
@@ -59,60 +60,64 @@
             wait=round(plan.wait, 3),
             urgency=plan.urgency,
         )
-        work = self.fleet.loads.begin(self.engine.id, plan.tokens, plan.urgency)
-        knowledge = self.fleet.estimates.pool(self.service)
-        knowledge.demand.record(Demand(prefill_engine_work=plan.tokens), started)
+        in_flight_send = self.fleet.loads.begin(
+            self.engine.id, plan.tokens, plan.urgency
+        )
+        estimates = self.fleet.estimates.pool(self.service)
+        estimates.demand.record(Demand(prefill_engine_work=plan.tokens), started)
         try:
-            handle = await self._call(left)
+            handle = await self._call(seconds_left)
         except UpstreamError as error:
-            await self._failed(error)
+            await self._record_failure(error)
             raise
         finally:
-            work.end()
+            in_flight_send.end()
         self.fleet.suspicion.record_success(self.engine.id)
         self.fleet.estimates.record_prefill(self.engine.id, self.request.prompt)
-        self._learn(started, time.monotonic())
+        self._record_prefill(started, time.monotonic())
         return handle
 
-    async def _call(self, left):
+    async def _call(self, seconds_left):
         options = SendOptions(
             instance=self.engine.record.id,
-            deadline_ms=int(left * 1000),
+            deadline_ms=int(seconds_left * 1000),
             priority=self.plan.urgency,
             prefill_only=True,
         )
-        answer = BufferedResponse()
-        limit = PREFILL_SECONDS + WAIT_MARGIN * self.plan.wait
-        exchange = self.relay.exchange(self.engine, self.request, options, answer)
+        response = BufferedResponse()
+        limit = PREFILL_TIMEOUT_MARGIN_SECONDS + WAIT_TIMEOUT_FACTOR * self.plan.wait
+        exchange = self.relay.exchange(self.engine, self.request, options, response)
         try:
             await asyncio.wait_for(exchange, limit)
         except asyncio.TimeoutError as error:
-            raise UpstreamError(f"no answer in {limit:.1f} s") from error
-        handle = self._read_handle(answer)
+            raise UpstreamError(f"no response within {limit:.1f} s") from error
+        handle = self._read_handle(response)
         if self.engine.terminated:
-            # It is over, or has started again under its id: a handle of that
-            # number may then be another prompt's.
-            raise UpstreamError("the engine is gone")
+            # The engine terminated, or restarted under its id: its next incarnation may
+            # have given the same handle id to another prompt.
+            raise UpstreamError("the engine terminated during the prefill")
         return handle
 
-    def _read_handle(self, answer):
+    def _read_handle(self, response):
         wire = self.relay.wire
-        if answer.status == 200:
-            return wire.read_handle(self.engine.address, answer.body)
+        if response.status == 200:
+            return wire.read_handle(self.engine.address, response.body)
         now = time.monotonic()
-        # A refused prefill call counts as a repeat, the first as well.
+        # Charged to the retry budget although it may be the request's first call, which
+        # is otherwise free.
         self.fleet.budget(self.service).spend(now)
-        reason = f"prefill status {answer.status}"
-        marks = wire.read_metadata(answer.headers)
-        if answer.status == 421:
-            self.fleet.record_misdirected(self.engine, marks.instance, now)
-        elif marks.not_executed:
+        reason = f"prefill status {response.status}"
+        metadata = wire.read_metadata(response.headers)
+        if response.status == 421:
+            self.fleet.record_misdirected(self.engine, metadata.instance, now)
+        elif metadata.not_executed:
             self.fleet.suspicion.record_refusal(self.engine.id, now)
         else:
             raise UpstreamError(reason)
         raise CallRefused(reason)
 
-    async def _failed(self, error):
+    async def _record_failure(self, error):
+        """Record a failed prefill, and find out whether the engine crashed under it."""
         if not isinstance(error, CallRefused):
             unreachable = error.code == ResultCode.NOT_RUN
             self.fleet.suspicion.record_failure(
@@ -126,11 +131,11 @@
             error=str(error),
         )
         if isinstance(error, ConnectionCut) and not self.plan.queued:
-            # A prompt that waits behind others has crashed nothing.
-            await self.relay.examine(self.request, self.engine)
+            # A prompt still in the engine's queue can't have crashed it.
+            await self.relay.probe_after_cut(self.request, self.engine)
 
-    def _learn(self, started, now):
-        """A prompt was read: log how long it took, and learn from it."""
+    def _record_prefill(self, started, now):
+        """Log a finished prefill and add its duration to the speed estimate."""
         plan, seconds = self.plan, now - started
         logger.info(
             "prefilled",
@@ -139,7 +144,8 @@
             seconds=round(seconds, 3),
         )
         if plan.queued:
-            # What waited says nothing of the engine's speed.
+            # The time of a queued prompt includes the queue, so it is no sample of
+            # speed.
             return
         tokens = self.request.prompt.tokens - plan.cached
         sample = PrefillSample(self.service, tokens, plan.cached, seconds)
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -1,8 +1,8 @@
-"""The task that writes to the store what this VM learnt of crashes.
+"""Synchronises a quarantine with the store.
 
-A record is one key for each work and instance, written without a condition: writing
-it twice, or late after a lost answer, changes nothing. No lease is attached, as those
-may lapse in an outage of the store, which may well be when engines crash.
+A record is one key for each work and instance, written unconditionally: writing it
+twice, or late after a lost answer, changes nothing. No lease is attached, as leases may
+expire during an outage of the store, which may well be when engines crash.
 """
 
 import asyncio
@@ -14,32 +14,32 @@
 from . import records
 from .exceptions import StoreError
 
-#: Seconds between two looks at what is to be written, which come in one call.
-LOOK_SECONDS = 0.1
-#: Seconds until a failed write is tried again.
-RETRY_SECONDS = 0.5
-#: Seconds between two looks at what has been kept long enough.
-EXPIRY_SECONDS = 30.0
+#: Seconds between two checks for pending writes, which are sent in one call.
+POLL_INTERVAL_SECONDS = 0.1
+#: Seconds until a failed write is retried.
+RETRY_INTERVAL_SECONDS = 0.5
+#: Seconds between two removals of expired records.
+EXPIRY_INTERVAL_SECONDS = 30.0
 #: Changes in one call to the store.
-CHANGES_A_CALL = 32
+MAX_CHANGES_PER_CALL = 32
 
 
 @attrs.define
 class QuarantineSync:
-    """Keeps the store in step with a :class:`~mulberrydock.quarantine.Quarantine`.
+    """Synchronises the store and a :class:`~mulberrydock.quarantine.Quarantine`.
 
-    :param name: this VM's name, for those who read the records.
-    :param is_leader: returns True on the one VM that removes what is old.
+    :param name: this VM's name, stated in the records.
+    :param is_leader: returns True on the one VM that removes expired records.
     """
 
     quarantine: object
     store: object
     name: str
     is_leader: object
-    expired_at: float = 0.0
+    last_expiry_at: float = 0.0
 
     def apply(self, key, value, revision):
-        """Take a record, or its removal when ``value`` is None."""
+        """Apply a record, or its removal when ``value`` is None."""
         if value is None:
             self.quarantine.apply(key, None)
             return
@@ -52,10 +52,10 @@
         self.quarantine.apply(key, written_at)
 
     async def step(self, now, unix_now):
-        """Write what is due; True unless the store failed."""
-        puts = self.quarantine.due_writes(now)[:CHANGES_A_CALL]
+        """Write what is due; return False when the store failed."""
+        puts = self.quarantine.due_writes(now)[:MAX_CHANGES_PER_CALL]
         self._expire(now, unix_now)
-        removals = list(self.quarantine.removals)[: CHANGES_A_CALL - len(puts)]
+        removals = list(self.quarantine.removals)[: MAX_CHANGES_PER_CALL - len(puts)]
         if not puts and not removals:
             return True
         written = await self._write(puts, removals, unix_now)
@@ -80,13 +80,15 @@
         )
 
     def _expire(self, now, unix_now):
-        if now - self.expired_at < EXPIRY_SECONDS or not self.is_leader():
+        if now - self.last_expiry_at < EXPIRY_INTERVAL_SECONDS or not self.is_leader():
             return
-        self.expired_at = now
+        self.last_expiry_at = now
         self.quarantine.removals.update(self.quarantine.expired(unix_now))
 
     async def run(self):
-        """Write for ever."""
+        """Write what is due, until cancelled."""
         while True:
             written = await self.step(time.monotonic(), time.time())
-            await asyncio.sleep(LOOK_SECONDS if written else RETRY_SECONDS)
+            await asyncio.sleep(
+                POLL_INTERVAL_SECONDS if written else RETRY_INTERVAL_SECONDS
+            )
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -1,4 +1,4 @@
-"""Takes requests to the instances: routes them, keeps connections, logs ends."""
+"""Relays requests to instances: matches routes, pools connections, logs outcomes."""
 
 import asyncio
 import time
@@ -9,14 +9,14 @@
 from .crash_probe import CrashProbe
 from .exceptions import ResultCode, UpstreamError
 from .refusal import RETRY_AFTER_SECONDS
-from .serving import Serving
+from .serving import RequestLifecycle
 
-#: Seconds for a call that frees an unused handle.
+#: Seconds for a call that releases an unused KV handle.
 RELEASE_SECONDS = 1.0
 
 
 class Relay:
-    """Serves requests over the instances that ``fleet`` believes in.
+    """Serves requests on the instances of ``fleet``.
 
     :param fleet: a :class:`~mulberrydock.fleet_view.FleetView`.
     :param wire: a :class:`~mulberrydock.ports.Wire`.
@@ -27,24 +27,24 @@
         self.fleet = fleet
         self.wire = wire
         self.metrics = metrics
-        self.pools = {}
-        self.probe = CrashProbe(self.pool)
-        self.background = set()
+        self.connection_pools = {}
+        self.crash_probe = CrashProbe(self.connection_pool)
+        self.background_tasks = set()
 
-    def pool(self, instance):
-        """Return the connections to one incarnation of an instance."""
-        pool = self.pools.get(instance.id)
+    def connection_pool(self, instance):
+        """Return the connection pool of one incarnation of an instance."""
+        pool = self.connection_pools.get(instance.id)
         if pool is None:
             pool = ConnectionPool(instance.address)
-            self.pools[instance.id] = pool
-        # The share of the cap shrinks as more entry VMs become known.
+            self.connection_pools[instance.id] = pool
+        # This VM's share of the cap shrinks as more entry VMs become known.
         pool.limit = self.fleet.connection_limit(instance)
         return pool
 
     def forget(self, instance_id):
-        """Close the kept connections of an instance that is gone."""
-        self.probe.forget(instance_id)
-        pool = self.pools.pop(instance_id, None)
+        """Close the idle connections of a terminated instance."""
+        self.crash_probe.forget(instance_id)
+        pool = self.connection_pools.pop(instance_id, None)
         if pool is not None:
             pool.close()
 
@@ -63,7 +63,7 @@
             self.reject(request, sink, 400, "no request id")
             return
         service = routes.service_for(route)
-        serving = Serving(self, request, route, service, sink)
+        serving = RequestLifecycle(self, request, route, service, sink)
         try:
             code = await serving.run()
         except asyncio.CancelledError:
@@ -76,82 +76,87 @@
         self._log_end(serving, code)
 
     def exchange(self, instance, request, options, listener):
-        """Return the coroutine of one exchange about ``request``."""
+        """Return the coroutine that sends ``request`` to ``instance`` once."""
         sent_at = time.monotonic()
         self.fleet.limits.take(instance.id, sent_at)
-        return self.pool(instance).exchange(
+        return self.connection_pool(instance).exchange(
             request.method,
             request.target,
             self.wire.upstream_headers(request, options),
             request.body,
             listener,
-            accepts=lambda headers: self._accept(instance, request, sent_at, headers),
+            accept_response=lambda headers: self._accept_response(
+                instance, request, sent_at, headers
+            ),
             keep_alive=self._keep_alive,
         )
 
-    def _accept(self, instance, request, sent_at, headers):
-        """Return whether an answer is one to ``request``; learn a limit from it."""
-        marks = self.wire.read_metadata(headers)
-        if marks.request_id not in ("", request.id):
+    def _accept_response(self, instance, request, sent_at, headers):
+        """Return whether a response belongs to ``request``; record its rate limit."""
+        metadata = self.wire.read_metadata(headers)
+        if metadata.request_id not in ("", request.id):
             return False
-        own = marks.instance in ("", instance.record.id)
-        # A refusal without a limit doesn't show that the limit is over.
-        if own and (marks.limit is not None or not marks.not_executed):
+        own = metadata.instance in ("", instance.record.id)
+        # A refusal that names no limit doesn't show that the limit has been lifted.
+        if own and (metadata.limit is not None or not metadata.not_executed):
             now = time.monotonic()
-            self.fleet.limits.observe(instance.id, marks.limit, sent_at, now)
+            self.fleet.limits.observe(instance.id, metadata.limit, sent_at, now)
         return True
 
     def _keep_alive(self, headers):
-        marks = self.wire.read_metadata(headers)
-        return 0 if marks.closing else marks.keep_alive_seconds
+        metadata = self.wire.read_metadata(headers)
+        return 0 if metadata.closing else metadata.keep_alive_seconds
 
-    def _apart(self, coroutine):
-        """Run ``coroutine`` apart from any request; return its task."""
+    def _run_in_background(self, coroutine):
+        """Run ``coroutine`` independently of any request; return its task."""
         task = asyncio.ensure_future(coroutine)
-        self.background.add(task)
-        task.add_done_callback(self.background.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
         return task
 
-    async def examine(self, request, instance):
-        """The connection to ``instance`` was cut under ``request``: find out why.
+    async def probe_after_cut(self, request, instance):
+        """Find out whether ``instance`` crashed when it cut the connection of
+        ``request``.
 
-        Also when the client leaves meanwhile, as one does whose request is never
-        answered: what it sends again is recognised by what was seen now.
+        Completes also when the client leaves meanwhile, as clients do whose request is
+        never answered: the result identifies the same work when it is sent again.
         """
-        await asyncio.shield(self._apart(self._examine(request, instance)))
+        await asyncio.shield(
+            self._run_in_background(self._probe_after_cut(request, instance))
+        )
 
-    async def _examine(self, request, instance):
+    async def _probe_after_cut(self, request, instance):
         if instance.leaving:
-            # One that leaves ends what it couldn't finish.
+            # An instance that is leaving cuts what it couldn't finish in time.
             return
-        crashed = await self.probe.crashed(instance)
+        crashed = await self.crash_probe.has_crashed(instance)
         now = time.monotonic()
-        book, work = self.fleet.quarantine, request.fingerprint
+        quarantine, work = self.fleet.quarantine, request.fingerprint
         if crashed:
-            book.record_crash(work, instance.id, now)
+            quarantine.record_crash(work, instance.id, now)
         elif crashed is None:
-            book.record_cut(work, instance.id, now)
+            quarantine.record_cut(work, instance.id, now)
 
-    def release(self, engine, handle):
-        """Free a handle that no run took, apart from its request."""
-        self._apart(self._release(engine, handle))
+    def release_handle(self, engine, handle):
+        """Release an unused KV handle, independently of its request."""
+        self._run_in_background(self._release_handle(engine, handle))
 
-    async def _release(self, engine, handle):
+    async def _release_handle(self, engine, handle):
         await self.call(engine, self.wire.release_call(handle), RELEASE_SECONDS)
 
     async def call(self, instance, call, seconds):
-        """Make one :class:`~mulberrydock.request.UpstreamCall` at an instance.
+        """Make one :class:`~mulberrydock.request.UpstreamCall` to an instance.
 
-        :param seconds: how long its answer may take.
+        :param seconds: timeout of the call.
         :returns: the :class:`BufferedResponse`, None when none came.
         """
-        answer = BufferedResponse()
-        exchange = self.pool(instance).exchange(
+        response = BufferedResponse()
+        exchange = self.connection_pool(instance).exchange(
             call.method,
             call.target,
             call.headers,
             call.body,
-            answer,
+            response,
             keep_alive=self._keep_alive,
         )
         try:
@@ -165,10 +170,13 @@
                 error=repr(error),
             )
             return None
-        return answer
+        return response
 
     def reject(self, request, sink, status, reason, retry_after=None):
-        """Give an answer of this process's own; ``retry_after`` in seconds."""
+        """Answer with an error of this process's own.
+
+        :param retry_after: seconds for the ``Retry-After`` header, None for no header.
+        """
         headers = []
         if retry_after is not None:
             headers.append(("Retry-After", f"{retry_after:.1f}"))
@@ -187,9 +195,9 @@
         )
 
     def _summary(self, serving):
-        """Return what the log says of a request that is over."""
+        """Return the log fields that describe a finished request."""
         arrived = serving.request.arrived
-        first = serving.stream.begun_at
+        first = serving.stream.first_event_at
         return {
             "request": serving.request.id,
             "fingerprint": serving.request.fingerprint,
--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -1,7 +1,7 @@
 """One client request and the route it takes, as typed values.
 
-Nothing here knows how a request arrives or how an upstream is reached: fronts
-build :class:`Request`, decisions read it, the relay carries it.
+Independent of how a request arrives and how an upstream is reached: fronts build
+:class:`Request`, decisions read it, the relay sends it.
 """
 
 import enum
@@ -10,12 +10,13 @@
 
 import attrs
 
-#: Bytes of a fingerprint: among millions of requests no two are alike by chance.
+#: Bytes of a fingerprint: enough that among millions of requests no two collide by
+#: chance.
 FINGERPRINT_BYTES = 12
 
 
 class Kind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether a route's requests may be sent more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -32,12 +33,12 @@
 
 @attrs.define(frozen=True)
 class Route:
-    """A declared route: which requests it takes and how they are served.
+    """A declared route: which requests it matches and how they are served.
 
     ``timeout``, ``latency_objective`` and ``gap_objective`` are seconds;
-    ``client_idle_timeout`` are the seconds without an event after which clients give a
-    stream up; ``priority`` is 0 for the most urgent; ``max_attempts`` counts
-    upstreams that one request may be sent to.
+    ``client_idle_timeout`` is the time, in seconds without an event, after which
+    clients give a stream up; ``priority`` is 0 for the most urgent; ``max_attempts``
+    bounds the instances that one request may be sent to.
     """
 
     name: str
@@ -54,7 +55,7 @@
     client_idle_timeout: float = math.inf
 
     @property
-    def repeatable(self):
+    def retryable(self):
         """True when a request that may have run may be sent again."""
         return self.kind is Kind.IDEMPOTENT or (
             self.kind is Kind.STREAMING and self.resumable
@@ -65,9 +66,9 @@
 class ServiceSpec:
     """A declared service: connection cap per instance and engine limits.
 
-    ``kv_tokens`` is an engine's memory in tokens, 0 for a plain application
-    service; ``transfer_seconds_per_token`` the time that a token's KV cache takes on an
-    engine's link.
+    ``kv_tokens`` is the size of an engine's KV cache in tokens, 0 for a plain
+    application service; ``transfer_seconds_per_token`` is the time that the KV cache
+    of one token takes on an engine's link.
     """
 
     name: str
@@ -84,7 +85,7 @@
 
 @attrs.define(frozen=True)
 class RequestLimits:
-    """What a client may send; bytes and seconds."""
+    """Limits on what a client may send; sizes in bytes, ``idle_timeout`` in seconds."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -111,7 +112,7 @@
 
 @attrs.define(frozen=True)
 class Prompt:
-    """What a request asks of a model engine."""
+    """The prompt and the output limit of a request to a model engine, in tokens."""
 
     tokens: int = 0
     max_output_tokens: int = 0
@@ -119,15 +120,15 @@
 
     @property
     def shared_parts(self):
-        """Parts that other requests have too: all but the last."""
+        """Parts that other requests may share: all but the last."""
         return self.parts[:-1]
 
 
 @attrs.define(frozen=True)
 class KvHandle:
-    """KV cache that an engine keeps for one decode run after a prefill.
+    """Refers to the KV cache of a prefilled prompt, held for one decode run.
 
-    ``address`` is the engine that holds it; ``tokens`` its length.
+    ``address`` is the engine that holds it, ``tokens`` its length.
     """
 
     address: str
@@ -136,28 +137,29 @@
 
 
 def fingerprint(*parts):
-    """Return the name of the work that a request asks for.
+    """Return the hash that identifies the work a request asks for.
 
-    Two requests that an instance can't tell apart, but for the id of the attempt and
-    the deadline, have the same one, whichever VM they reach.
+    Requests that differ, for an instance, only in the attempt's id and the deadline
+    have the same fingerprint, at whichever VM they arrive.
 
-    :param parts: text or bytes that together decide what an instance does.
+    :param parts: text or bytes that together determine what an instance does.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         raw = part if isinstance(part, bytes) else part.encode(errors="replace")
-        # With its length, so that no two lists of parts run together alike.
+        # Prefix the length, so that different lists of parts never concatenate to the
+        # same bytes.
         digest.update(len(raw).to_bytes(8, "big") + raw)
     return digest.hexdigest()
 
 
 @attrs.define(eq=False)
 class Request:
-    """One attempt of a client, read whole from its connection.
+    """One attempt of a client, with its complete body.
 
-    ``arrived`` and ``deadline`` are monotonic seconds; ``headers`` are the
-    end-to-end headers to pass on, in order, as (name, value) pairs.
-    ``fingerprint`` is shared by all attempts at the same work.
+    ``arrived`` and ``deadline`` are monotonic seconds; ``headers`` are the end-to-end
+    headers to pass on, in order, as (name, value) pairs. ``fingerprint`` is the same
+    for all attempts at the same work.
     """
 
     id: str
@@ -184,7 +186,7 @@
 
 @attrs.define(frozen=True)
 class SendOptions:
-    """What the system sets on one send to an upstream instance."""
+    """What this system adds to one send to an upstream instance."""
 
     instance: str
     deadline_ms: int
@@ -196,11 +198,11 @@
 
 @attrs.define(frozen=True)
 class ResponseMetadata:
-    """What an upstream states about its answer beside status and body.
+    """What an upstream states about its response beside status and body.
 
-    ``request_id`` is the request that the answer names and ``instance`` the
-    incarnation that gave it, empty when none. ``limit`` are the requests a second
-    that it takes from all VMs together, None without a limit.
+    ``request_id`` is the request that the response names and ``instance`` the
+    incarnation that gave it; both are empty when it names none. ``limit`` is the rate
+    limit in requests per second, from all VMs together, None without one.
     """
 
     request_id: str
@@ -214,7 +216,7 @@
 
 @attrs.define(frozen=True)
 class UpstreamCall:
-    """A call to an instance beside the requests of clients."""
+    """A call to an instance that is not a client's request."""
 
     method: str
     target: str
--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -1,4 +1,4 @@
-"""One send to an instance: progress watched, its stream relayed as it comes."""
+"""One send to an instance: progress timeouts, and the relay of its event stream."""
 
 import asyncio
 import time
@@ -6,105 +6,115 @@
 
 import attrs
 
-from .connections import Listener
+from .connections import ResponseListener
 from .exceptions import ResultCode, UpstreamError
 
 
 @attrs.define(frozen=True)
-class Patience:
-    """How long an instance may show no progress before it is left.
+class ProgressTimeouts:
+    """How long an instance may make no progress before its response is abandoned.
 
-    ``first`` and ``gap`` are seconds to the first sign and between two later
-    ones. ``may_leave`` is asked when they are over and says whether another
-    instance takes the request: silence alone is no reason to end an answer
-    that may still come.
+    ``first_event_seconds`` is the time to the first event, ``event_gap_seconds`` that
+    between two events. ``may_abandon`` is called on a timeout and returns whether
+    another instance takes the request over: silence alone is no reason to end a
+    response that may still come.
     """
 
-    first: float
-    gap: float
-    may_leave: t.Callable
+    first_event_seconds: float
+    event_gap_seconds: float
+    may_abandon: t.Callable
 
-    def edge(self, started, progress_at):
-        """Return when the silence that began last has lasted too long."""
-        if progress_at is None:
-            return started + self.first
-        return progress_at + self.gap
+    def expires_at(self, started, last_progress_at):
+        """Return when the present silence becomes a timeout, monotonic seconds."""
+        if last_progress_at is None:
+            return started + self.first_event_seconds
+        return last_progress_at + self.event_gap_seconds
 
 
-async def watch(exchange, listener, patience=None):
-    """Run ``exchange`` to its end, or leave a silent instance.
+async def run_exchange(exchange, listener, timeouts=None):
+    """Run ``exchange`` to its end, or abandon an instance that makes no progress.
 
-    :raises UpstreamError: as the exchange does, or STREAM_CUT when the
-        instance was left or its answer turned out wrong.
+    :param timeouts: the :class:`ProgressTimeouts`, None for no timeout.
+    :raises UpstreamError: as the exchange does, or STREAM_CUT when the instance was
+        abandoned or its response turned out wrong.
     """
     task = asyncio.ensure_future(exchange)
     started = time.monotonic()
     try:
         while not task.done():
-            await asyncio.wait([task], timeout=_wait(patience, started, listener))
-            if not task.done() and patience is not None:
-                patience = _leave(patience, started, listener)
+            await asyncio.wait(
+                [task], timeout=_wait_seconds(timeouts, started, listener)
+            )
+            if not task.done() and timeouts is not None:
+                timeouts = _check_progress(timeouts, started, listener)
         task.result()
         listener.check()
     finally:
-        # Also when this request is cancelled: closing the connection tells
-        # the instance to stop its work.
+        # Also on cancellation of the request: closing the connection tells the instance
+        # to stop its work.
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
 
-def _wait(patience, started, listener):
-    if patience is None:
+def _wait_seconds(timeouts, started, listener):
+    if timeouts is None:
         return None
-    edge = patience.edge(started, listener.progress_at)
-    return max(0.0, edge - time.monotonic())
+    expires_at = timeouts.expires_at(started, listener.last_progress_at)
+    return max(0.0, expires_at - time.monotonic())
 
 
-def _leave(patience, started, listener):
-    """Return the patience from now on: None when there is nowhere to go."""
-    if time.monotonic() < patience.edge(started, listener.progress_at):
-        return patience
-    if patience.may_leave():
-        raise UpstreamError("no progress", ResultCode.STREAM_CUT)
+def _check_progress(timeouts, started, listener):
+    """Abandon the instance after a timeout if another one can take over.
+
+    :returns: the timeouts from now on, None when there is no other instance.
+    """
+    if time.monotonic() < timeouts.expires_at(started, listener.last_progress_at):
+        return timeouts
+    if timeouts.may_abandon():
+        raise UpstreamError(
+            f"no progress within {timeouts.first_event_seconds:.1f} s to the first "
+            f"event or {timeouts.event_gap_seconds:.1f} s between events",
+            ResultCode.STREAM_CUT,
+        )
     return None
 
 
-class StreamListener(Listener):
-    """Relays one engine's stream to the client, whole events only.
+class StreamListener(ResponseListener):
+    """Relays one engine's stream to the client, in whole events only.
 
     :param stream: the client's :class:`ClientStream`.
-    :param work: the send as counted in the load book.
+    :param in_flight_send: the send as counted in the load tracker.
     """
 
-    def __init__(self, wire, stream, work):
+    def __init__(self, wire, stream, in_flight_send):
         self.wire = wire
         self.stream = stream
-        self.work = work
+        self.in_flight_send = in_flight_send
         self.status = 0
         self.headers = None
-        self.marks = None
+        self.metadata = None
         self.chunks = []
         self.error = None
-        # What a former engine began of an event is void.
+        # Drop the part of an event that a previous engine has sent.
         stream.splitter.buffer = b""
 
     def on_headers(self, status, headers):
         self.status = status
         self.headers = headers
-        self.marks = self.wire.read_metadata(headers)
+        self.metadata = self.wire.read_metadata(headers)
 
     @property
-    def good(self):
-        """True when the answer is a signed stream."""
-        return self.status == 200 and self.marks.signed
+    def is_signed_stream(self):
+        """True when the response is a signed stream."""
+        return self.status == 200 and self.metadata.signed
 
     @property
     def body(self):
-        """The body of an answer that is no stream."""
+        """The body of a response that isn't a stream."""
         return b"".join(self.chunks)
 
     def on_data(self, chunk):
-        if not self.good:
+        if not self.is_signed_stream:
             self.chunks.append(chunk)
             return None
         try:
@@ -115,40 +125,44 @@
             raise
         if not events:
             return None
-        self.progress_at = time.monotonic()
-        if self.begun_at is None:
-            self.begun_at = self.progress_at
-            self.work.mark_prefilled()
+        self.last_progress_at = time.monotonic()
+        if self.first_progress_at is None:
+            self.first_progress_at = self.last_progress_at
+            self.in_flight_send.mark_prefilled()
         return self.stream.write(self.status, self.headers, events)
 
     def check(self):
         if self.error is not None:
             raise self.error
-        if self.good and not self.stream.splitter.clean:
-            raise UpstreamError("ended inside an event", ResultCode.STREAM_CUT)
+        if self.is_signed_stream and not self.stream.splitter.clean:
+            raise UpstreamError(
+                f"stream ended inside an event, after event "
+                f"{self.stream.splitter.last_id}",
+                ResultCode.STREAM_CUT,
+            )
 
 
 @attrs.define
 class ClientStream:
-    """The client's side of a streamed answer, over all engines' runs.
+    """The client's side of a streamed response, across the runs of several engines.
 
-    The headers are those of the first engine that made an event.
-    ``begun_at`` is when the first event was passed on, monotonic seconds.
+    The headers are those of the first engine that sent an event. ``first_event_at`` is
+    when the first event was passed on, monotonic seconds.
     """
 
     wire: object
     sink: object
     splitter: object
-    begun_at: float | None = None
+    first_event_at: float | None = None
 
     @property
-    def begun(self):
-        """True once the client has got an event."""
-        return self.begun_at is not None
+    def has_started(self):
+        """True once the client has received an event."""
+        return self.first_event_at is not None
 
     def write(self, status, headers, events):
-        """Pass whole events on, with the headers before the first."""
-        if not self.begun:
-            self.begun_at = time.monotonic()
+        """Pass whole events on, preceded by the headers on the first call."""
+        if not self.has_started:
+            self.first_event_at = time.monotonic()
             self.sink.begin(status, self.wire.response_headers(headers))
         return self.sink.write(events)
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -1,6 +1,7 @@
-"""The life of one request: choose, send, relay, resume, final answer.
+"""Serves one request: chooses an instance, sends, relays, resumes, gives the final
+response.
 
-Status promises: 429 and 503 say that the request has not run and never will;
+Status codes are promises: 429 and 503 say that the request has not run and never will;
 after a send that may have run, a non-idempotent request ends with 502 or 504.
 """
 
@@ -15,58 +16,66 @@
 from .demand import Demand
 from .exceptions import ConnectionCut, ResultCode, UpstreamError
 from .placement import PRIORITY_MAX
-from .prefill import WAIT_MARGIN, Prefill
+from .prefill import WAIT_TIMEOUT_FACTOR, PrefillCall
 from .request import Kind, SendOptions
-from .sends import ClientStream, Patience, StreamListener, watch
+from .sends import ClientStream, ProgressTimeouts, StreamListener, run_exchange
 from .sse import EventSplitter
 
-#: Seconds without a sign of an engine, beyond the estimate, before its first
-#: event. Clients give a stream up after 2.4 s of silence, so a second engine
-#: must have answered by then.
-FIRST_EVENT_SECONDS = 0.9
-#: Seconds between two events of a stream after which the engine may be left.
-EVENT_GAP_SECONDS = 0.7
-#: Seconds for a plain service's answer to a repeatable call: ten times its
-#: usual work.
-PLAIN_ANSWER_SECONDS = 0.45
-#: Seconds after its first event from which a stream isn't blamed for its engine's
-#: crash: what crashes an engine does so as it begins.
-HARMLESS_SECONDS = 0.25
-
-
-def _ran_on(listener, now):
-    """True when an instance has gone on for long after it began to answer."""
-    return listener.begun_at is not None and now - listener.begun_at > HARMLESS_SECONDS
+#: Seconds, beyond the estimated wait, that an engine has for its first event. Clients
+#: give a stream up after 2.4 s without an event, so a second engine must have answered
+#: by then.
+FIRST_EVENT_MARGIN_SECONDS = 0.9
+#: Seconds without an event of a running stream after which it may be resumed on another
+#: engine.
+EVENT_GAP_TIMEOUT_SECONDS = 0.7
+#: Seconds for a plain service's response to a retryable request: ten times its usual
+#: service time.
+PLAIN_RESPONSE_TIMEOUT_SECONDS = 0.45
+#: Seconds after a stream's first event during which the stream may be blamed for a
+#: crash of its engine: a request that crashes an engine does so as it begins.
+CRASH_BLAME_SECONDS = 0.25
+
+
+def _ran_past_blame(listener, now):
+    """Return whether a response ran for longer than ``CRASH_BLAME_SECONDS``."""
+    return (
+        listener.first_progress_at is not None
+        and now - listener.first_progress_at > CRASH_BLAME_SECONDS
+    )
 
 
 @attrs.define
-class Calls:
-    """How many calls of one kind a request has made, and how many of them an
-    instance may have got."""
+class CallCounter:
+    """Counts a request's calls of one kind: those made, and those that an instance may
+    have received."""
 
     made: int = 0
-    reached: int = 0
+    maybe_received: int = 0
 
-    def begin(self):
-        """Count a call in that is being made."""
+    def record_call(self):
+        """Record a call that is about to be made."""
         self.made += 1
-        self.reached += 1
+        self.maybe_received += 1
+
+    def record_not_sent(self):
+        """Record that the last call wasn't sent, as nobody accepted its connection.
 
-    def not_sent(self):
-        """The call found nobody listening; return the calls that the retry budget
-        had granted for it."""
-        self.reached -= 1
-        return int(self.reached > 0)
+        :returns: the number of retries reserved from the retry budget for it, which the
+            next attempt may use.
+        """
+        self.maybe_received -= 1
+        return int(self.maybe_received > 0)
 
 
-class Serving:
-    """One request on its way; :meth:`run` answers it through ``sink``.
+class RequestLifecycle:
+    """Serves one request; :meth:`run` answers it through ``sink``.
 
-    ``sends`` and ``prefills`` are the :class:`Calls` to instances, ``granted`` how many
-    the retry budget allowed ahead of their making, ``tried`` holds the instances asked
-    so far. ``answer`` is an instance's failure that may be passed on if nothing
-    better comes, ``cause`` why the last attempt failed. ``served`` is set once an
-    instance has answered the request with success.
+    ``sends`` and ``prefills`` are the :class:`CallCounter` of each kind.
+    ``reserved_retries`` is the number of calls that the retry budget has granted and
+    that were not made yet, ``tried`` the ids of the instances called so far.
+    ``error_response`` is an instance's failure that is passed on if no attempt gives
+    better, ``cause`` says why the last attempt failed. ``served`` is True once an
+    instance has answered with success.
     """
 
     def __init__(self, relay, request, route, service, sink):
@@ -81,48 +90,58 @@
         self.stream = ClientStream(
             relay.wire, sink, EventSplitter(request.last_event_id)
         )
-        self.sends = Calls()
-        self.prefills = Calls()
-        self.granted = 0
+        self.sends = CallCounter()
+        self.prefills = CallCounter()
+        self.reserved_retries = 0
         self.planned_at = request.arrived
         self.tried = set()
         self.may_have_run = False
         self.served = False
-        self.answer = None
+        self.error_response = None
         self.cause = "no instance serves the route"
 
     async def run(self):
-        """Answer the request; return the :class:`ResultCode` of the outcome."""
+        """Answer the request.
+
+        :returns: the :class:`ResultCode` of the outcome.
+        """
         self.fleet.budget(self.service).record_request(self.request.arrived)
         if self.request.prompt.tokens:
             self.fleet.record_demand(
                 self.request.prompt, self.route, self.service, self.request.arrived
             )
         loop = asyncio.get_running_loop()
-        left = self._left(time.monotonic())
+        left = self._seconds_left(time.monotonic())
         try:
             async with asyncio.timeout_at(loop.time() + left):
                 return await self._attempts()
         except TimeoutError:
             return self._expire()
 
-    def _left(self, now):
+    def _seconds_left(self, now):
         """Return the seconds until the request's deadline."""
         return self.deadline - now
 
     def _refusal(self, plan, now):
-        """Return the :class:`~mulberrydock.refusal.Refusal` of a request whose first
-        attempt would be in vain, None to make it."""
+        """Return the :class:`~mulberrydock.refusal.Refusal` of a request that can't be
+        served in time, None to attempt it.
+
+        Only a request without an earlier attempt is refused.
+        """
         if self.sends.made or self.prefills.made:
             return None
         most_urgent = self.fleet.is_most_urgent(self.route, self.service)
-        left = self._left(now)
+        left = self._seconds_left(now)
         return refusal.refuse(plan, self.route.client_idle_timeout, most_urgent, left)
 
     async def _attempts(self):
-        attempt = self._stream if self.route.kind is Kind.STREAMING else self._call
+        attempt = (
+            self._attempt_stream
+            if self.route.kind is Kind.STREAMING
+            else self._attempt_plain
+        )
         while True:
-            plan = self._next(time.monotonic())
+            plan = self._next_plan(time.monotonic())
             if plan is None:
                 return self._give_up()
             refused = self._refusal(plan, time.monotonic())
@@ -130,166 +149,187 @@
                 return self._shed(refused)
             if await attempt(plan):
                 return ResultCode.OK
-            if self.may_have_run and not self.route.repeatable:
+            if self.may_have_run and not self.route.retryable:
                 return self._give_up()
 
-    def _next(self, now):
+    def _next_plan(self, now):
         """Return the plan of the next attempt, None when there is no other."""
-        if self._quarantined(now):
+        if self._is_quarantined(now):
             return None
-        if self.sends.reached > self.route.max_attempts:
+        if self.sends.maybe_received > self.route.max_attempts:
             return None
-        if self.may_have_run and self.sends.reached >= self.route.max_attempts:
+        if self.may_have_run and self.sends.maybe_received >= self.route.max_attempts:
             return None
         plan = self.fleet.plan(self.request, self.route, self.service, self.tried, now)
         self.planned_at = now
         if plan is None and self.fleet.is_rate_limited(self.service, now):
             self.cause = "the instances take no more requests for now"
-        if plan is None or not self.grant(plan, now):
+        if plan is None or not self.reserve_retries(plan, now):
             return None
         return plan
 
-    def _quarantined(self, now):
-        """True when instances crash under this request's work: asked before every
-        call, as another VM may have seen the last crash a moment ago."""
+    def _is_quarantined(self, now):
+        """Return whether the request's work is quarantined for crashes.
+
+        Checked before every call: another VM may have reported the last crash since.
+        """
         quarantine, work = self.fleet.quarantine, self.request.fingerprint
         if not quarantine.is_quarantined(work, now):
             return False
         self.cause = f"{quarantine.count(work)} instances crashed under it"
         return True
 
-    def grant(self, plan, now):
-        """Ask the retry budget for the calls that ``plan`` repeats."""
-        # A request's first prefill call and its first send are free. What found nobody
-        # listening was no call: when engines are lost, their requests would spend the
-        # budget on looking for another one, and be refused when they found it.
-        calls = int(self.sends.reached > 0)
-        calls += int(plan.prefill is not None and self.prefills.reached > 0)
-        granted = min(calls, self.granted)
-        calls -= granted
+    def reserve_retries(self, plan, now):
+        """Reserve the calls of ``plan`` that are retries from the retry budget.
+
+        :returns: False when the budget doesn't allow them.
+        """
+        # The first prefill call and the first send of a request are free. A call that
+        # found nobody listening doesn't count: when engines are lost, requests would
+        # spend the budget on finding another engine and be refused once they had found
+        # it.
+        calls = int(self.sends.maybe_received > 0)
+        calls += int(plan.prefill is not None and self.prefills.maybe_received > 0)
+        reserved = min(calls, self.reserved_retries)
+        calls -= reserved
         if calls and not self.fleet.budget(self.service).allow(now, calls):
             self.cause += "; retry budget spent"
             return False
-        self.granted -= granted
+        self.reserved_retries -= reserved
         return True
 
-    def _may_leave(self):
-        """True when a silent instance may be left: another one takes over.
+    def _may_abandon(self):
+        """Return whether a silent instance may be abandoned, as another one takes over.
 
-        The budget's grant is kept for that attempt, so that the answer given
-        up here isn't lost for want of it.
+        The retries granted here are kept for the next attempt, so that the response
+        abandoned now isn't lost for want of budget.
         """
         now = time.monotonic()
-        plan = self._next(now)
+        plan = self._next_plan(now)
         if plan is None:
             return False
-        self.granted = 2 if plan.prefill is not None else 1
+        self.reserved_retries = 2 if plan.prefill is not None else 1
         return True
 
-    def _patience(self, first, gap):
-        """Return the patience with the next send, None without an end.
+    def _progress_timeouts(self, first, gap):
+        """Return the :class:`ProgressTimeouts` of the next send, None for no timeout.
+
+        Only a retryable request with an attempt left can be sent to another instance.
 
-        Only a request that may be repeated, and has an attempt left, can go
-        elsewhere at all.
+        :param first: seconds to the first event.
+        :param gap: seconds between two events.
         """
         if (
-            not self.route.repeatable
-            or self.sends.reached + 1 >= self.route.max_attempts
+            not self.route.retryable
+            or self.sends.maybe_received + 1 >= self.route.max_attempts
         ):
             return None
-        return Patience(first, gap, self._may_leave)
-
-    async def _call(self, plan):
-        """One send of a plain call; True when the client was answered."""
-        answer = BufferedResponse()
-        patience = self._patience(PLAIN_ANSWER_SECONDS, PLAIN_ANSWER_SECONDS)
-        work = self.fleet.loads.begin(plan.target.id, 0)
-        if not await self._send(plan, answer, work, patience):
+        return ProgressTimeouts(first, gap, self._may_abandon)
+
+    async def _attempt_plain(self, plan):
+        """Send a plain request once; return whether the client was answered."""
+        response = BufferedResponse()
+        timeouts = self._progress_timeouts(
+            PLAIN_RESPONSE_TIMEOUT_SECONDS, PLAIN_RESPONSE_TIMEOUT_SECONDS
+        )
+        in_flight_send = self.fleet.loads.begin(plan.target.id, 0)
+        if not await self._send(plan, response, in_flight_send, timeouts):
             return False
-        return self._take_whole(plan, answer, self.wire.read_metadata(answer.headers))
+        return self._deliver_buffered(
+            plan, response, self.wire.read_metadata(response.headers)
+        )
 
-    async def _stream(self, plan):
-        """One run of a streamed request; True when the client was answered."""
+    async def _attempt_stream(self, plan):
+        """Run a streamed request once; return whether the client was answered."""
         handle, prefill = None, plan.prefill
         if prefill is not None:
             handle = await self._prefill(plan)
             if handle is None:
-                # Another prefill engine may be free, or a decode engine
-                # quicker by now.
+                # Plan again: another prefill engine may be free, or a decode engine
+                # faster by now.
                 return False
-            # The prefill may have waited for seconds: the decode engine that
-            # was best before may be leaving or busy now, and one that leaves
-            # must get nothing new a moment after its notice.
+            # The prefill may have taken seconds: the decode engine of the plan may be
+            # busy or leaving by now, and an engine that is leaving must get no new work
+            # from a moment after its notice.
             now = time.monotonic()
             plan = self.fleet.decode_plan(
                 self.request, self.service, plan, self.tried, now
             )
-        taken = False
+        handle_used = False
         try:
-            if plan is None or self._quarantined(time.monotonic()):
+            if plan is None or self._is_quarantined(time.monotonic()):
                 return False
             tokens = plan.tokens if handle is None else 0
             urgency = min(PRIORITY_MAX, self.route.priority)
-            work = self.fleet.loads.begin(plan.target.id, tokens, urgency)
-            knowledge = self.fleet.estimates.pool(self.service)
-            knowledge.demand.record(Demand(decode_engine_work=tokens), time.monotonic())
-            listener = StreamListener(self.wire, self.stream, work)
-            patience = self._patience(
-                FIRST_EVENT_SECONDS + WAIT_MARGIN * plan.wait, EVENT_GAP_SECONDS
+            in_flight_send = self.fleet.loads.begin(plan.target.id, tokens, urgency)
+            estimates = self.fleet.estimates.pool(self.service)
+            estimates.demand.record(Demand(decode_engine_work=tokens), time.monotonic())
+            listener = StreamListener(self.wire, self.stream, in_flight_send)
+            timeouts = self._progress_timeouts(
+                FIRST_EVENT_MARGIN_SECONDS + WAIT_TIMEOUT_FACTOR * plan.wait,
+                EVENT_GAP_TIMEOUT_SECONDS,
             )
-            whole = await self._send(plan, listener, work, patience, handle)
-            taken = listener.marks is not None and listener.good
+            complete = await self._send(
+                plan, listener, in_flight_send, timeouts, handle
+            )
+            handle_used = listener.metadata is not None and listener.is_signed_stream
         finally:
-            # A handle that no run takes fills its engine's memory in vain.
-            if handle is not None and not taken:
-                self.relay.release(prefill, handle)
-        if whole and listener.good:
+            # An unused handle keeps KV cache in its engine's memory for nothing.
+            if handle is not None and not handle_used:
+                self.relay.release_handle(prefill, handle)
+        if complete and listener.is_signed_stream:
             self.fleet.estimates.record_prefill(plan.target.id, self.request.prompt)
-            self._note_stream(plan, time.monotonic())
+            self._record_stream(plan, time.monotonic())
             self.served = True
             self.sink.finish()
             return True
-        return whole and self._take_whole(plan, listener, listener.marks)
+        return complete and self._deliver_buffered(plan, listener, listener.metadata)
 
-    def _note_stream(self, plan, now):
-        """A stream ended whole: learn from it, and measure the estimate."""
-        if not self.stream.begun:
+    def _record_stream(self, plan, now):
+        """Record a complete stream in the service's estimates and metrics."""
+        if not self.stream.has_started:
             return
-        knowledge = self.fleet.estimates.pool(self.service)
-        knowledge.record_stream(now - self.stream.begun_at)
+        estimates = self.fleet.estimates.pool(self.service)
+        estimates.record_stream(now - self.stream.first_event_at)
         metrics = self.relay.metrics
-        metrics.token_seconds.labels(self.service).set(knowledge.cost_model.cost.token)
+        metrics.token_seconds.labels(self.service).set(estimates.cost_model.cost.token)
         if plan.wait > 0:
-            ratio = (self.stream.begun_at - self.planned_at) / plan.wait
+            ratio = (self.stream.first_event_at - self.planned_at) / plan.wait
             metrics.wait_ratio.labels(self.service).observe(ratio)
 
-    def _take_whole(self, plan, answer, marks):
-        """Take an instance's whole answer; True when it went to the client."""
-        if not self._ran(plan.target, marks, answer.status):
+    def _deliver_buffered(self, plan, response, metadata):
+        """Pass an instance's whole response on unless another attempt may do better.
+
+        :returns: True when it went to the client.
+        """
+        if not self._record_response(plan.target, metadata, response.status):
             return False
-        self.answer = answer
-        failed = answer.status >= 500
-        if self.stream.begun or (failed and self.route.repeatable):
-            self.cause = f"status {answer.status}"
+        self.error_response = response
+        failed = response.status >= 500
+        if self.stream.has_started or (failed and self.route.retryable):
+            self.cause = f"status {response.status}"
             return False
-        self.served = answer.status < 400
-        self._respond(answer)
+        self.served = response.status < 400
+        self._respond(response)
         return True
 
-    def _ran(self, instance, marks, status):
-        """Note what an answer shows; False when it must not be passed on."""
+    def _record_response(self, instance, metadata, status):
+        """Record what a response shows of its instance.
+
+        :returns: False when the response must not be passed on.
+        """
         now = time.monotonic()
         if status == 421:
-            self.fleet.record_misdirected(instance, marks.instance, now)
+            self.fleet.record_misdirected(instance, metadata.instance, now)
             self.cause = f"{instance.id} is not at its address or in its stage"
             return False
-        if marks.not_executed:
+        if metadata.not_executed:
             self.fleet.suspicion.record_no_slot(instance.id, now)
             self.cause = f"{instance.id} refused"
             return False
         self.may_have_run = True
-        if not marks.signed:
-            # Not an answer of the instance's own.
+        if not metadata.signed:
+            # An unsigned response is not the instance's own.
             self.cause = f"unsigned answer {status}"
             self.fleet.suspicion.record_failure(instance.id, now)
             return False
@@ -297,15 +337,15 @@
             self.fleet.suspicion.record_success(instance.id)
         return True
 
-    async def _send(self, plan, listener, work, patience, handle=None):
-        """Send once; False when no whole answer came."""
+    async def _send(self, plan, listener, in_flight_send, timeouts, handle=None):
+        """Send once to the plan's target; return whether a whole response came."""
         target = plan.target
         now = time.monotonic()
-        self.sends.begin()
+        self.sends.record_call()
         self.tried.add(target.id)
         options = SendOptions(
             instance=target.record.id,
-            deadline_ms=int(self._left(now) * 1000),
+            deadline_ms=int(self._seconds_left(now) * 1000),
             priority=min(PRIORITY_MAX, self.route.priority),
             last_event_id=self.stream.splitter.last_id,
             kv_source=handle,
@@ -322,18 +362,19 @@
         self.relay.metrics.sends.labels(target.record.service).inc()
         exchange = self.relay.exchange(target, self.request, options, listener)
         try:
-            await watch(exchange, listener, patience)
+            await run_exchange(exchange, listener, timeouts)
         except UpstreamError as error:
-            await self._failed(target, error, listener)
+            await self._record_failure(target, error, listener)
             return False
         finally:
-            work.end()
+            in_flight_send.end()
         return True
 
-    async def _failed(self, instance, error, listener):
+    async def _record_failure(self, instance, error, listener):
+        """Record a failed send, and find out whether the instance crashed under it."""
         not_sent = error.code == ResultCode.NOT_RUN
         if not_sent:
-            self.granted += self.sends.not_sent()
+            self.reserved_retries += self.sends.record_not_sent()
         else:
             self.may_have_run = True
         self.cause = f"{instance.id}: {error}"
@@ -348,54 +389,54 @@
             error=str(error),
             suspected=suspected,
         )
-        if not_sent or _ran_on(listener, time.monotonic()):
+        if not_sent or _ran_past_blame(listener, time.monotonic()):
             return
         if isinstance(error, ConnectionCut):
-            await self.relay.examine(self.request, instance)
+            await self.relay.probe_after_cut(self.request, instance)
         else:
             self.fleet.quarantine.record_cut(
                 self.request.fingerprint, instance.id, time.monotonic()
             )
 
     async def _prefill(self, plan):
-        """Prefill apart; return the handle, None when the engine gave none."""
-        self.prefills.begin()
+        """Prefill on the plan's prefill engine; return the handle, None on failure."""
+        self.prefills.record_call()
         self.tried.add(plan.prefill.id)
-        call = Prefill(self.relay, self.request, self.service, plan)
+        call = PrefillCall(self.relay, self.request, self.service, plan)
         try:
-            return await call.run(self._left(time.monotonic()))
+            return await call.run(self._seconds_left(time.monotonic()))
         except UpstreamError as error:
             if error.code == ResultCode.NOT_RUN:
-                self.granted += self.prefills.not_sent()
+                self.reserved_retries += self.prefills.record_not_sent()
             self.cause = f"prefill at {plan.prefill.id}: {error}"
             return None
 
-    def _respond(self, answer):
-        headers = self.wire.response_headers(answer.headers)
-        self.sink.respond(answer.status, headers, answer.body)
+    def _respond(self, response):
+        headers = self.wire.response_headers(response.headers)
+        self.sink.respond(response.status, headers, response.body)
 
     def _give_up(self):
-        """Final answer when no attempt is left."""
-        if self.stream.begun:
+        """Give the final response when no attempt is left."""
+        if self.stream.has_started:
             self.sink.abort()
             return ResultCode.STREAM_CUT
-        if self.answer is not None:
-            self._respond(self.answer)
+        if self.error_response is not None:
+            self._respond(self.error_response)
             return ResultCode.UPSTREAM_FAILED
         if self.may_have_run:
             self.relay.reject(self.request, self.sink, 502, self.cause)
             return ResultCode.UPSTREAM_FAILED
         now = time.monotonic()
-        if self._quarantined(now):
+        if self._is_quarantined(now):
             retry_after = refusal.QUARANTINE_RETRY_SECONDS
             self.relay.reject(self.request, self.sink, 503, self.cause, retry_after)
             return ResultCode.QUARANTINED
-        retry_after = refusal.retry_after(bool(self.tried), self._left(now))
+        retry_after = refusal.retry_after(bool(self.tried), self._seconds_left(now))
         self.relay.reject(self.request, self.sink, 503, self.cause, retry_after)
         return ResultCode.NO_UPSTREAM
 
     def _shed(self, refused):
-        """Final answer to a request that is refused before its first attempt."""
+        """Refuse the request before its first attempt."""
         self.cause = refused.reason
         self.relay.reject(
             self.request, self.sink, 503, refused.reason, refused.retry_after
@@ -403,11 +444,11 @@
         return ResultCode.SHED
 
     def _expire(self):
-        """Final answer at the deadline, while an attempt was under way."""
-        if self.stream.begun:
+        """Give the final response at the deadline, while an attempt is in progress."""
+        if self.stream.has_started:
             self.sink.abort()
             return ResultCode.STREAM_CUT
-        if self.sends.reached:
+        if self.sends.maybe_received:
             self.relay.reject(self.request, self.sink, 504, "deadline")
             return ResultCode.OUTCOME_UNKNOWN
         retry_after = refusal.RETRY_AFTER_SECONDS
--- a/src/mulberrydock/sse.py
+++ b/src/mulberrydock/sse.py
@@ -1,8 +1,8 @@
-"""Splits a stream of server-sent events into whole events with their ids."""
+"""Splits a stream of server-sent events into whole events and checks their ids."""
 
 from .exceptions import ResultCode, UpstreamError
 
-END = b"\n\n"
+EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 
 
@@ -18,10 +18,10 @@
 
 
 class EventSplitter:
-    """Cuts received bytes into whole events and checks their order.
+    """Splits received bytes into whole events and checks their order.
 
-    An engine may stop in the middle of an event; only whole ones are handed
-    on, so that a resumed stream goes on at an event's edge.
+    An engine may stop in the middle of an event; only whole events are passed on, so
+    that a resumed stream continues at an event boundary.
 
     :param last_id: id of the last event the client already has, 0 for none.
     """
@@ -32,17 +32,17 @@
         self.count = 0
 
     def feed(self, chunk):
-        """Return the bytes of all whole events so far, which may be none.
+        """Return the bytes of the events completed by ``chunk``, which may be none.
 
-        :raises UpstreamError: when an event's id doesn't follow: a piece
-            would be missing or come twice.
+        :raises UpstreamError: when an event's id isn't greater than the previous one,
+            as an event would be sent twice or out of order.
         """
         self.buffer += chunk
-        whole, separator, rest = self.buffer.rpartition(END)
+        whole, separator, rest = self.buffer.rpartition(EVENT_END)
         if not separator:
             return b""
         self.buffer = rest
-        for event in whole.split(END):
+        for event in whole.split(EVENT_END):
             self._check(event)
         return whole + separator
 
@@ -59,5 +59,5 @@
 
     @property
     def clean(self):
-        """True when no part of an event is left over."""
+        """True when no partial event is left over."""
         return not self.buffer.strip()
--- a/src/mulberrydock/upstream.py
+++ b/src/mulberrydock/upstream.py
@@ -1,9 +1,8 @@
-"""One HTTP/1.1 exchange with an upstream over a connection this task owns.
+"""One HTTP/1.1 exchange with an upstream on a connection of its own.
 
-Built on tornado's ``TCPClient`` and ``HTTP1Connection`` rather than its
-pooled client, because a connection that goes silent for good must be closed
-by an idle timeout, and the pooled client exposes no such timeout. Each
-request gets a new connection, so no answer can cross to another request.
+Built on tornado's ``TCPClient`` and ``HTTP1Connection``: a connection that stays silent
+must be closed by an idle timeout, which tornado's pooled client doesn't offer. Each
+request uses a new connection, so no response can reach another request.
 """
 
 import asyncio
@@ -24,13 +23,13 @@
     UpstreamError,
 )
 
-#: Seconds between two looks at an exchange for its time limits.
-POLL_SECONDS = 0.1
+#: Seconds between two checks of an exchange's timeouts.
+POLL_INTERVAL_SECONDS = 0.1
 
 
 @attrs.define
-class Exchange:
-    """What an upstream answered: status, headers, and whether bytes arrived."""
+class UpstreamResponse:
+    """An upstream's response: status, headers, and the body bytes received so far."""
 
     status: int = 0
     headers: tornado.httputil.HTTPHeaders = attrs.field(
@@ -41,29 +40,29 @@
 
 
 class _Delegate(tornado.httputil.HTTPMessageDelegate):
-    def __init__(self, exchange, on_headers, on_chunk, touch, stream):
+    def __init__(self, exchange, on_headers, on_chunk, record_activity, stream):
         self.exchange = exchange
         self.on_headers = on_headers
         self.on_chunk = on_chunk
-        self.touch = touch
+        self.record_activity = record_activity
         self.stream = stream
         self.error = None
 
     def headers_received(self, start_line, headers):
         self.exchange.status = start_line.code
         self.exchange.headers = headers
-        self.touch()
+        self.record_activity()
         if self.on_headers:
             self.on_headers(self.exchange)
 
     def data_received(self, chunk):
         self.exchange.received += len(chunk)
-        self.touch()
+        self.record_activity()
         try:
             self.on_chunk(chunk)
         except (MulberrydockError, ValueError, KeyError) as error:
-            # Tornado would log an exception raised here and lose its type:
-            # keep it and close, so that the exchange ends with it.
+            # Tornado would log an exception raised here and lose its type: it is
+            # stored, and the connection closed, so that the exchange ends with it.
             self.error = error
             self.stream.close()
 
@@ -87,18 +86,18 @@
     idle_timeout=defaults.STREAM_IDLE_TIMEOUT_SECONDS,
     total_timeout=defaults.REQUEST_TIMEOUT_SECONDS,
 ):
-    """Send one request to ``address`` and feed the answer's body to ``on_chunk``.
+    """Send one request to ``address`` and feed the response's body to ``on_chunk``.
 
     :param on_chunk: called with each decoded body chunk (``bytes``).
-    :param first_byte_timeout: seconds to the first byte of the answer;
+    :param first_byte_timeout: seconds to the first byte of the response;
         ``idle_timeout`` when None.
-    :param idle_timeout: seconds with no byte, after the first, before the
-        connection is called silent and closed.
-    :returns: the :class:`Exchange`.
-    :raises UpstreamError: ``NOT_RUN`` when no connection could be made (the
-        request was not sent), ``UPSTREAM_FAILED`` when the connection failed
-        and ``STREAM_CUT`` when it went silent or the answer was refused by
-        ``on_chunk``, after the request was sent.
+    :param idle_timeout: seconds without a byte, after the first, before the connection
+        is closed as silent.
+    :returns: the :class:`UpstreamResponse`.
+    :raises UpstreamError: ``NOT_RUN`` when no connection could be made (the request was
+        not sent), ``UPSTREAM_FAILED`` when the connection failed, and ``STREAM_CUT``
+        when it went silent or ``on_chunk`` refused the response, after the request was
+        sent.
     """
     host, port = split_address(address)
     try:
@@ -106,15 +105,17 @@
             tornado.tcpclient.TCPClient().connect(host, port), connect_timeout
         )
     except (OSError, asyncio.TimeoutError, tornado.iostream.StreamClosedError) as e:
-        raise UpstreamError(f"connect to {address}: {e}", ResultCode.NOT_RUN) from e
-    result = Exchange()
-    last = [time.monotonic()]
+        raise UpstreamError(
+            f"can't connect to {address}: {e}", ResultCode.NOT_RUN
+        ) from e
+    result = UpstreamResponse()
+    last_activity = [time.monotonic()]
     first_byte_timeout = (
         idle_timeout if first_byte_timeout is None else first_byte_timeout
     )
 
-    def touch():
-        last[0] = time.monotonic()
+    def record_activity():
+        last_activity[0] = time.monotonic()
 
     connection = tornado.http1connection.HTTP1Connection(
         stream,
@@ -128,36 +129,45 @@
     all_headers["Host"] = address
     all_headers["Connection"] = "close"
     all_headers["Content-Length"] = str(len(body))
-    delegate = _Delegate(result, on_headers, on_chunk, touch, stream)
+    delegate = _Delegate(result, on_headers, on_chunk, record_activity, stream)
     started = time.monotonic()
-    reading = None
+    read_task = None
     try:
         connection.write_headers(start, all_headers)
         connection.write(body)
         connection.finish()
-        reading = asyncio.ensure_future(connection.read_response(delegate))
-        while not reading.done():
-            await asyncio.wait([reading], timeout=min(idle_timeout, POLL_SECONDS))
+        read_task = asyncio.ensure_future(connection.read_response(delegate))
+        while not read_task.done():
+            await asyncio.wait(
+                [read_task], timeout=min(idle_timeout, POLL_INTERVAL_SECONDS)
+            )
             now = time.monotonic()
-            if reading.done():
+            if read_task.done():
                 break
             limit = idle_timeout if result.status else first_byte_timeout
-            if now - last[0] > limit or now - started > total_timeout:
-                # A connection silent for good: the peer or a middlebox has
-                # lost track of it; only closing our end ends the wait.
-                raise UpstreamError(f"{address} went silent", ResultCode.STREAM_CUT)
+            if now - last_activity[0] > limit or now - started > total_timeout:
+                # The peer or a middlebox has lost the connection's state; only closing
+                # this end stops the wait.
+                raise UpstreamError(
+                    f"{address} sent nothing for {limit:.1f} s, or not the whole "
+                    f"response within {total_timeout:.1f} s",
+                    ResultCode.STREAM_CUT,
+                )
         if delegate.error is None:
-            reading.result()
+            read_task.result()
     except (tornado.iostream.StreamClosedError, OSError) as e:
-        raise ConnectionCut(f"{address} cut: {e}") from e
+        raise ConnectionCut(f"{address} closed the connection: {e}") from e
     finally:
         stream.close()
-        if reading is not None:
-            reading.cancel()
+        if read_task is not None:
+            read_task.cancel()
     if delegate.error is not None:
         if isinstance(delegate.error, UpstreamError):
             raise delegate.error
         raise UpstreamError(f"{address}: {delegate.error}", ResultCode.STREAM_CUT)
     if not result.finished:
-        raise ConnectionCut(f"{address} cut the answer", ResultCode.STREAM_CUT)
+        raise ConnectionCut(
+            f"{address} closed the connection before the response was complete",
+            ResultCode.STREAM_CUT,
+        )
     return result
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget that all entry VMs share, seen from one of them."""
+"""The retry budget that all entry VMs share, as one of them applies it."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 from mulberrydock.instances import InstanceRecord, Stage
 from mulberrydock.membership import Membership, Peer
 from mulberrydock.placement import Plan
-from mulberrydock.prefill import Prefill
+from mulberrydock.prefill import PrefillCall
 from mulberrydock.request import (
     Kind,
     Prompt,
@@ -27,7 +27,7 @@
     Split,
 )
 from mulberrydock.serve import EntryVm
-from mulberrydock.serving import Serving
+from mulberrydock.serving import RequestLifecycle
 
 TIMING = Timing(
     config_apply_seconds=2,
@@ -41,7 +41,8 @@
     retry_budget_floor=56,
 )
 VMS = 8
-#: Long prompts a second at one VM, and seconds for which an engine is under change.
+#: Long prompts per second at one VM, and seconds that a stage change of an engine
+#: takes.
 PROMPTS_PER_SECOND = 20
 CHANGE_SECONDS = 3.0
 LETTERS = Route(
@@ -53,10 +54,12 @@
     ("requests", "count", "allowed"),
     [(0, 1, 4), (0, 2, 4), (20, 1, 8), (20, 3, 6)],
 )
-def test_no_more_sends_than_the_budget(requests, count, allowed):
-    """Every instance of a service fails. Repeats stop at the floor and a share
-    of the requests of the window, also when one repeat makes several sends,
-    and begin again when the window has moved on."""
+def test_retries_stay_within_the_budget(requests, count, allowed):
+    """Retries at a service whose instances all fail multiply its load.
+
+    They stop at the floor plus a share of the window's requests, also when one retry
+    makes several sends, and resume when the window has moved on.
+    """
     budget = RetryBudget(ratio=0.2, window_seconds=10, floor=4)
     for _ in range(requests):
         budget.record_request(0.0)
@@ -70,8 +73,10 @@
 
 @pytest.mark.parametrize("peers", [1, 8, 9, 79])
 def test_vms_together_stay_below_the_fleets_budget(peers):
-    """All VMs spend their whole floor at once. Together they stay below what
-    the users allow, however many they are."""
+    """All VMs spend their whole floor at once.
+
+    Together they stay below the configured budget, whatever their number.
+    """
     view = FleetView("dc1", TIMING, lambda: peers, lambda instance: None)
     sent = 0
     while view.budget("llm").allow(0.0):
@@ -79,10 +84,12 @@
     assert sent * peers <= TIMING.retry_budget_floor * RETRY_BUDGET_SHARE
 
 
-def test_a_vm_that_loses_sight_of_its_peers_keeps_to_its_share():
-    """The store drops every VM's record at once. A VM that counted only the
-    records it sees would take the whole fleet's budget for itself, and so
-    would each of the others."""
+def test_vm_that_sees_no_peer_records_keeps_to_its_share_of_the_budget():
+    """The store drops the records of all VMs at once.
+
+    A VM that counted only the records it sees would take the whole fleet's budget, and
+    so would each of the others.
+    """
     membership = Membership(None, EntryVm("entry-1", "127.0.0.1:1", "dc1"))
     for number in range(1, 9):
         membership.peers[f"entry-{number}"] = Peer("127.0.0.1:1", "dc1")
@@ -95,49 +102,55 @@
     "ends, granted",
     [
         ([], True),
-        # Nobody listened where the first engines were: nothing was repeated yet.
+        # Nobody listened at the first engines: nothing was retried yet.
         (["not sent"], True),
         (["not sent", "not sent", "not sent"], True),
         (["failed"], False),
         (["not sent", "failed"], False),
-        # The budget has granted the call that was not made.
+        # The budget has already granted the call that wasn't sent.
         (["failed", "not sent"], True),
     ],
 )
-def test_looking_for_an_engine_spends_no_budget(ends, granted):
-    """Half of a pool's engines crash. Every VM goes on choosing them until it has met
-    each of them, and each time finds nobody listening. Counted as repeats, these tries
-    spend the budget within a second, and requests are refused that were never sent."""
+def test_sends_that_nobody_received_spend_no_retry_budget(ends, granted):
+    """Half of a pool's engines crash, and each VM goes on choosing them until it has
+    found nobody listening at each of them.
+
+    Counted as retries, these attempts would spend the budget within a second, and
+    requests that were never sent would be refused.
+    """
     view = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     relay = types.SimpleNamespace(fleet=view, wire=None)
     request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0)
     route = types.SimpleNamespace(timeout=5.0)
-    serving = Serving(relay, request, route, "llm", None)
+    serving = RequestLifecycle(relay, request, route, "llm", None)
     view.budget("llm").allow = lambda now, count=1: False
     for end in ends:
-        serving.sends.begin()
+        serving.sends.record_call()
         if end == "not sent":
-            serving.granted += serving.sends.not_sent()
-    assert serving.grant(Plan(None), 0.0) is granted
+            serving.reserved_retries += serving.sends.record_not_sent()
+    assert serving.reserve_retries(Plan(None), 0.0) is granted
 
 
-def test_budget_granted_for_a_call_that_was_not_made_is_kept():
+def test_retry_granted_for_a_call_that_was_not_sent_is_reused():
     view = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     relay = types.SimpleNamespace(fleet=view, wire=None)
     request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0)
-    serving = Serving(relay, request, types.SimpleNamespace(timeout=5.0), "llm", None)
+    serving = RequestLifecycle(
+        relay, request, types.SimpleNamespace(timeout=5.0), "llm", None
+    )
     asked = []
     view.budget("llm").allow = lambda now, count=1: asked.append(count) or True
-    serving.sends.begin()
+    serving.sends.record_call()
     for _ in range(3):
-        assert serving.grant(Plan(None), 0.0)
-        serving.sends.begin()
-        serving.granted += serving.sends.not_sent()
+        assert serving.reserve_retries(Plan(None), 0.0)
+        serving.sends.record_call()
+        serving.reserved_retries += serving.sends.record_not_sent()
     assert asked == [1]
 
 
 class RefusingEngines:
-    """The wire to engines that refuse every call, and what a prefill asks of it."""
+    """A wire to engines that refuse every call, and what a prefill call needs of a
+    relay."""
 
     def __init__(self, status):
         self.status = status
@@ -158,7 +171,7 @@
         return ResponseMetadata("", "", False, True, None, False)
 
     async def prefill(self):
-        """Plan a long prompt, and have it read apart if that is the plan."""
+        """Plan a long prompt, and make the prefill call if the plan has one."""
         parts = (PromptPart("own", 20_000),)
         prompt = Prompt(20_000, 20, parts)
         request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0, prompt)
@@ -166,13 +179,13 @@
         if plan.prefill is None:
             return
         with pytest.raises(UpstreamError):
-            await Prefill(self, request, "llm", plan).run(5.0)
+            await PrefillCall(self, request, "llm", plan).run(5.0)
 
 
-# Guards against first prefill calls, which the budget doesn't grant, piling up at an
-# engine that refuses them all: the only one that prefills, while it changes its stage.
+# Guards against first prefill calls, which need no retry budget, piling up at an engine
+# that refuses them all: the pool's only prefill engine during its stage change.
 @pytest.mark.parametrize("status", [503, 421])
-def test_prefill_engine_that_refuses_is_not_asked_by_every_request(monkeypatch, status):
+def test_refusing_prefill_engine_is_not_called_for_every_request(monkeypatch, status):
     engines = RefusingEngines(status)
     now = 100.0
     monkeypatch.setattr(time, "monotonic", lambda: now)
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Which cuts count as a crash under the request that was there, without a network."""
+"""Which cuts of a connection count as a crash under its request, without a network."""
 
 import asyncio
 import time
@@ -11,18 +11,18 @@
 from mulberrydock.instances import Instance, InstanceRecord
 from mulberrydock.metrics import ServeMetrics
 from mulberrydock.placement import Plan
-from mulberrydock.prefill import Prefill
+from mulberrydock.prefill import PrefillCall
 from mulberrydock.relay import Relay
 from mulberrydock.request import Request
 
 
 @attrs.define
 class Probe:
-    """Says after a moment whether an instance has crashed."""
+    """Returns after a moment whether an instance has crashed."""
 
     answer: bool | None
 
-    async def crashed(self, instance):
+    async def has_crashed(self, instance):
         await asyncio.sleep(0.01)
         return self.answer
 
@@ -30,7 +30,7 @@
 def relay_with(answer):
     fleet = FleetView("dc1", None, lambda: 1, lambda instance_id: None)
     relay = Relay(fleet, None, ServeMetrics())
-    relay.probe = Probe(answer)
+    relay.crash_probe = Probe(answer)
     return relay
 
 
@@ -51,28 +51,32 @@
         (True, False, False, 1),
         # It accepts connections: only this one was cut.
         (False, False, True, 0),
-        # It doesn't say, as this VM is cut off from it perhaps.
+        # It doesn't respond, perhaps as this VM is cut off from it.
         (None, False, False, 0),
         (None, False, True, 1),
-        # It was about to end, and ended.
+        # It was leaving, and terminated.
         (True, True, True, 0),
     ],
 )
-def test_what_a_cut_shows(answer, leaving, gone_later, crashes):
+def test_cut_counts_as_a_crash_only_if_the_instance_terminated(
+    answer, leaving, gone_later, crashes
+):
     relay, instance, work = relay_with(answer), engine(leaving), request().fingerprint
-    asyncio.run(relay.examine(request(), instance))
-    book = relay.fleet.quarantine
+    asyncio.run(relay.probe_after_cut(request(), instance))
+    quarantine = relay.fleet.quarantine
     if gone_later:
-        book.record_termination(instance.id, time.monotonic())
-    assert book.count(work) == crashes
+        quarantine.record_termination(instance.id, time.monotonic())
+    assert quarantine.count(work) == crashes
 
 
-def test_client_that_leaves_at_the_crash_hides_nothing():
-    """An engine ends under a request, and in the milliseconds in which its VM looks
-    whether it is still there the client gives up. It sends the same again later."""
+def test_crash_is_recorded_when_the_client_leaves_during_the_probe():
+    """An engine crashes under a request whose client leaves while the probe still runs.
+
+    The crash must be recorded, as the client sends the same request again later.
+    """
 
     async def run():
-        task = asyncio.ensure_future(relay.examine(request(), engine()))
+        task = asyncio.ensure_future(relay.probe_after_cut(request(), engine()))
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.sleep(0.05)
@@ -86,13 +90,13 @@
     "queued, error, crashes",
     [
         (0, ConnectionCut("cut"), 1),
-        # It waited behind other prompts: the engine hadn't begun to read it.
+        # Queued behind other prompts: the engine hadn't begun to prefill it.
         (5000, ConnectionCut("cut"), 0),
         (0, UpstreamError("no answer"), 0),
     ],
 )
-def test_prompt_that_waits_is_not_blamed(queued, error, crashes):
+def test_queued_prompt_is_not_blamed_for_a_crash(queued, error, crashes):
     relay = relay_with(True)
     plan = Plan(engine(), engine(), queued=queued)
-    asyncio.run(Prefill(relay, request(), "llm", plan)._failed(error))
+    asyncio.run(PrefillCall(relay, request(), "llm", plan)._record_failure(error))
     assert relay.fleet.quarantine.count(request().fingerprint) == crashes
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -1,8 +1,8 @@
-"""Requests that crash engines at the entry's own front, over loopback connections.
+"""Requests that crash engines, at the entry daemon, over loopback connections.
 
-The story is that of ``test_crashing_request``: a request ends every engine that runs it
-and comes again, to any entry. The cause was the same here: what an entry learnt of a
-failure it kept for the engine, and forgot of the request.
+As in ``test_crashing_request``, a request crashes every engine that runs it and comes
+again, to any entry. The same failure: an entry remembered failures by engine, but not
+by the request that caused them.
 """
 
 import asyncio
@@ -22,12 +22,13 @@
 from mulberrydock.routing import Router, Upstream, Work
 from mulberrydock.settings import default_settings_text, parse_settings
 
-CRASHING = b'{"prompt": "crash"}'
-SOUND = b'{"prompt": "sound"}'
+CRASHING_BODY = b'{"prompt": "crash"}'
+HARMLESS_BODY = b'{"prompt": "sound"}'
 
 
 class Engine:
-    """Ends as a process does when it reads the marked body, cuts others' answers."""
+    """Terminates when it reads the marked body, and cuts the responses to other
+    requests."""
 
     def __init__(self, name):
         self.name = name
@@ -48,7 +49,7 @@
             self.server.close()
         writer.transport.abort()
 
-    async def revive(self):
+    async def restart(self):
         if not self.server.is_serving():
             await self.start()
 
@@ -57,13 +58,13 @@
 
 
 class Sink:
-    def cut(self, message):
+    def abort(self, message):
         pass
 
 
 @attrs.define
 class Daemon:
-    """What a completion and a call need of an entry."""
+    """What a completion and an idempotent call need of an entry daemon."""
 
     engines: Router
     services: dict
@@ -93,19 +94,24 @@
 
 
 async def call(daemon, body):
-    made = IdempotentCall(daemon, "app", "status", "GET", "tenant", "", body, 2.0)
-    outcome = await made.run(asyncio.get_running_loop().time())
+    idempotent_call = IdempotentCall(
+        daemon, "app", "status", "GET", "tenant", "", body, 2.0
+    )
+    outcome = await idempotent_call.run(asyncio.get_running_loop().time())
     return outcome.code
 
 
 @pytest.mark.parametrize("send", [completion, call])
 @pytest.mark.parametrize(
     "body, code",
-    [(CRASHING, ResultCode.QUARANTINED), (SOUND, None)],
+    [(CRASHING_BODY, ResultCode.QUARANTINED), (HARMLESS_BODY, None)],
 )
-def test_work_that_crashed_three_upstreams_goes_to_none(send, body, code):
-    """Engines that end under a request are back a moment later and get it again;
-    those that only cut its answers go on being asked."""
+def test_work_that_crashed_three_upstreams_is_sent_to_none(send, body, code):
+    """Engines that crash under a request are back a moment later and would get it
+    again.
+
+    Engines that only cut its responses are retried.
+    """
 
     async def run():
         engines = [Engine(f"e{number}") for number in range(3)]
@@ -114,7 +120,7 @@
         daemon = daemon_of(engines)
         for _ in range(4):
             for engine in engines:
-                await engine.revive()
+                await engine.restart()
             for upstream in daemon.engines.upstreams.values():
                 upstream.failed_until = 0.0
             last = await send(daemon, body)
@@ -130,25 +136,25 @@
         assert last is not ResultCode.QUARANTINED
 
 
-def test_entry_that_read_the_crashes_sends_nothing():
-    """The engines ended at other entries; this one knows it from the store."""
+def test_entry_quarantines_work_for_crashes_read_from_the_store():
+    """The engines crashed at other entries; this one has read that from the store."""
 
     async def run():
         engine = Engine("e0")
         await engine.start()
         daemon = daemon_of([engine])
-        work = fingerprint("completions", "tenant", CRASHING)
+        work = fingerprint("completions", "tenant", CRASHING_BODY)
         for number in range(CRASH_LIMIT):
             daemon.crashes.quarantine.apply(Crash.of(work, f"x{number}").key, 1000.0)
-        code = await completion(daemon, CRASHING)
+        code = await completion(daemon, CRASHING_BODY)
         engine.server.close()
         return code, engine.calls
 
     assert asyncio.run(run()) == (ResultCode.QUARANTINED, 0)
 
 
-def test_silent_upstream_is_not_blamed():
-    """Nobody answers at its address, as behind a partition: no crash is known."""
+def test_failure_without_a_cut_is_no_crash():
+    """Nobody responds at its address, as during a partition: that shows no crash."""
 
     async def run():
         guard = CrashGuard.from_store(None, "entry-1", bool)
@@ -156,7 +162,7 @@
             closed.bind(("127.0.0.1", 0))
             address = "127.0.0.1:%d" % closed.getsockname()[1]
             upstream = Upstream("e0", address, "dc1")
-            await guard.failed("work", upstream, "1", ValueError("silent"))
+            await guard.record_failure("work", upstream, "1", ValueError("silent"))
         return guard.quarantine.count("work")
 
     assert asyncio.run(run()) == 0
@@ -166,9 +172,11 @@
     "listening, status, code",
     [(True, 502, ResultCode.UPSTREAM_FAILED), (False, 503, ResultCode.NO_UPSTREAM)],
 )
-def test_refusal_says_not_run_only_of_what_has_not_run(listening, status, code):
-    """A look-up is sent to two instances and both cut the answer: it may have run, so a
-    503, which promises that it hasn't and won't, would be untrue."""
+def test_503_only_for_a_call_that_has_not_run(listening, status, code):
+    """A look-up is sent to two instances and both cut the response, so it may have run.
+
+    A 503, which promises that it has not run and never will, would be wrong.
+    """
 
     async def run():
         engines = [Engine("e0"), Engine("e1")]
@@ -178,8 +186,10 @@
         if not listening:
             for engine in engines:
                 engine.server.close()
-        made = IdempotentCall(daemon, "app", "status", "GET", "t", "", SOUND, 2.0)
-        outcome = await made.run(asyncio.get_running_loop().time())
+        idempotent_call = IdempotentCall(
+            daemon, "app", "status", "GET", "t", "", HARMLESS_BODY, 2.0
+        )
+        outcome = await idempotent_call.run(asyncio.get_running_loop().time())
         for engine in engines:
             engine.server.close()
         return outcome.status, outcome.code
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency records against an in-process store that loses answers."""
+"""Idempotency records, on an in-process store that loses answers."""
 
 import asyncio
 import types
@@ -14,17 +14,17 @@
 
 
 class Daemon:
-    """What a call needs of the entry daemon, and the settling tasks."""
+    """What a call needs of the entry daemon; collects the background tasks."""
 
     def __init__(self, state):
         self.store = DirectStore(state)
         self.entry = types.SimpleNamespace(name="entry-1")
         self.record_leases = RecordLeases(self.store, 60.0)
         self.crashes = CrashGuard.from_store(self.store, "entry-1", bool)
-        self.settling = []
+        self.background_tasks = []
 
-    def settle(self, coroutine):
-        self.settling.append(coroutine)
+    def run_in_background(self, coroutine):
+        self.background_tasks.append(coroutine)
 
 
 @attrs.define
@@ -57,16 +57,17 @@
         (0, 0, ResultCode.OK, 1),
         (1, 0, ResultCode.OK, 1),
         (2, 0, ResultCode.OK, 1),
-        # The claim took effect, its answer was lost, and then the store went
-        # down: the call is not made, and the caller is told so.
+        # The claim took effect, its answer was lost, and then the store went down: the
+        # call is not made, and the caller is told so.
         (1, 1, ResultCode.NOT_RUN, 0),
         (1, 3, ResultCode.NOT_RUN, 0),
     ],
 )
-def test_call_through_lost_answers(lost_writes, failing_reads, first, runs):
-    # After a NOT_RUN the kiosk sends the same key again, through any entry.
-    # It must run then: a claim left by the first attempt must not stand in
-    # its way, or the renewal would be lost.
+def test_call_runs_once_when_the_store_loses_answers(
+    lost_writes, failing_reads, first, runs
+):
+    # After a NOT_RUN the kiosk repeats the key, at any entry. The call must run then: a
+    # claim left by the first attempt would block it, and the renewal would be lost.
     state, reached = StoreState(), []
     daemon, call = _call(
         state, reached, lost_writes=lost_writes, failing_reads=failing_reads
@@ -75,7 +76,7 @@
     async def go():
         outcome = await call.run(0.0)
         assert (outcome.code, len(reached)) == (first, runs)
-        for task in daemon.settling:
+        for task in daemon.background_tasks:
             await task
         _, again = _call(state, reached)
         return await again.run(0.0)
@@ -92,10 +93,10 @@
 def test_repeat_of_a_call_that_never_ended(age_seconds, code):
     _, call = _call(StoreState(), [])
     found = records.decode(records.IdempotencyRecord, call._record("started"))
-    assert call._answer_of(found, found.createdAt + age_seconds).code == code
+    assert call._outcome_of_repeat(found, found.createdAt + age_seconds).code == code
 
 
-def test_one_lease_serves_many_records_and_outlives_their_retention():
+def test_lease_shared_by_records_outlives_their_retention_time():
     state = StoreState()
     now = [0.0]
     leases = RecordLeases(DirectStore(state, lambda: now[0]), 60.0)
@@ -106,5 +107,5 @@
 
     seen = [asyncio.run(lease_at(s)) for s in (0.0, 10.0, 29.9, 30.0, 59.0)]
     assert seen == [1, 1, 1, 2, 2]
-    # The last record under lease 1 was made at 29.9 and must live till 89.9.
+    # The last record under lease 1 is created at 29.9 and must live until 89.9.
     assert state.leases[1].expires_at >= 89.9
