--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -401,17 +401,19 @@
         return True
 
     async def _exchange(self, engine, checker, kv_source, estimate, streamed):
-        idle = self.daemon.settings.deployment.stream_idle_timeout_seconds
+        idle_timeout = self.daemon.settings.deployment.stream_idle_timeout_seconds
         headers = self._headers()
         if kv_source:
             headers[defaults.KV_SOURCE_HEADER] = kv_source
         if self.event_count:
             headers[defaults.RESUME_HEADER] = str(self.event_count)
-        limit = self.arrived + LATE_CUT_FACTOR * self.klass.deadline_seconds
-        left = max(idle, limit - time.monotonic())
+        cut_at = self.arrived + LATE_CUT_FACTOR * self.klass.deadline_seconds
+        seconds_left = max(idle_timeout, cut_at - time.monotonic())
         # Before the first token an engine may be silent, while the prompt is queued and
         # prefilled; after it, silence means a dead connection.
-        first_byte = idle + WAIT_TIMEOUT_FACTOR * estimate if streamed else left
+        first_byte_timeout = (
+            idle_timeout + WAIT_TIMEOUT_FACTOR * estimate if streamed else seconds_left
+        )
         await upstream.exchange(
             engine.address,
             "POST",
@@ -420,9 +422,9 @@
             json.dumps(self.body | {"stream": streamed}).encode(),
             checker.on_chunk,
             checker.on_headers,
-            first_byte_timeout=first_byte,
-            idle_timeout=idle,
-            total_timeout=left,
+            first_byte_timeout=first_byte_timeout,
+            idle_timeout=idle_timeout,
+            total_timeout=seconds_left,
         )
 
     def _headers(self):
@@ -446,7 +448,7 @@
             return ""
         headers = self._headers() | {defaults.STAGE_HEADER: PREFILL_ROLE}
         estimate = engine.wait_seconds(self.work, now, router.policy.entries)
-        idle = self.daemon.settings.deployment.stream_idle_timeout_seconds
+        idle_timeout = self.daemon.settings.deployment.stream_idle_timeout_seconds
         chunks = []
         engine.record_send(self.work, now)
         engine.in_flight += 1
@@ -458,9 +460,9 @@
                 headers,
                 json.dumps(self.body | {"stream": False}).encode(),
                 chunks.append,
-                first_byte_timeout=idle + WAIT_TIMEOUT_FACTOR * estimate,
-                idle_timeout=idle,
-                total_timeout=max(idle, self.deadline - now),
+                first_byte_timeout=idle_timeout + WAIT_TIMEOUT_FACTOR * estimate,
+                idle_timeout=idle_timeout,
+                total_timeout=max(idle_timeout, self.deadline - now),
             )
             document = json.loads(b"".join(chunks))
         except (UpstreamError, ValueError):
--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -120,10 +120,10 @@
         task.add_done_callback(self.background_tasks.discard)
 
     def _on_plan(self, key, value, version):
-        held = set()
+        cordoned = set()
         if value is not None:
-            held = set(records.decode(records.PlanRecord, value).held)
-        self.engines.cordoned = held
+            cordoned = set(records.decode(records.PlanRecord, value).held)
+        self.engines.cordoned = cordoned
 
     def leaving_vms(self):
         """Return the VMs that the configuration or the VM list shows as leaving."""
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -85,12 +85,12 @@
             prefill_only=True,
         )
         response = BufferedResponse()
-        limit = PREFILL_TIMEOUT_MARGIN_SECONDS + WAIT_TIMEOUT_FACTOR * self.plan.wait
+        timeout = PREFILL_TIMEOUT_MARGIN_SECONDS + WAIT_TIMEOUT_FACTOR * self.plan.wait
         exchange = self.relay.exchange(self.engine, self.request, options, response)
         try:
-            await asyncio.wait_for(exchange, limit)
+            await asyncio.wait_for(exchange, timeout)
         except asyncio.TimeoutError as error:
-            raise UpstreamError(f"no response within {limit:.1f} s") from error
+            raise UpstreamError(f"no response within {timeout:.1f} s") from error
         handle = self._read_handle(response)
         if self.engine.terminated:
             # The engine terminated, or restarted under its id: its next incarnation may
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -12,7 +12,7 @@
 from .serving import RequestLifecycle
 
 #: Seconds for a call that releases an unused KV handle.
-RELEASE_SECONDS = 1.0
+RELEASE_TIMEOUT_SECONDS = 1.0
 
 
 class Relay:
@@ -142,12 +142,12 @@
         self._run_in_background(self._release_handle(engine, handle))
 
     async def _release_handle(self, engine, handle):
-        await self.call(engine, self.wire.release_call(handle), RELEASE_SECONDS)
+        await self.call(engine, self.wire.release_call(handle), RELEASE_TIMEOUT_SECONDS)
 
-    async def call(self, instance, call, seconds):
+    async def call(self, instance, call, timeout):
         """Make one :class:`~mulberrydock.request.UpstreamCall` to an instance.
 
-        :param seconds: timeout of the call.
+        :param timeout: seconds for the whole call.
         :returns: the :class:`BufferedResponse`, None when none came.
         """
         response = BufferedResponse()
@@ -160,7 +160,7 @@
             keep_alive=self._keep_alive,
         )
         try:
-            await asyncio.wait_for(exchange, seconds)
+            await asyncio.wait_for(exchange, timeout)
         except (UpstreamError, asyncio.TimeoutError) as error:
             logger.warning(
                 "instance call failed",
--- a/src/mulberrydock/upstream.py
+++ b/src/mulberrydock/upstream.py
@@ -144,12 +144,12 @@
             now = time.monotonic()
             if read_task.done():
                 break
-            limit = idle_timeout if result.status else first_byte_timeout
-            if now - last_activity[0] > limit or now - started > total_timeout:
+            timeout = idle_timeout if result.status else first_byte_timeout
+            if now - last_activity[0] > timeout or now - started > total_timeout:
                 # The peer or a middlebox has lost the connection's state; only closing
                 # this end stops the wait.
                 raise UpstreamError(
-                    f"{address} sent nothing for {limit:.1f} s, or not the whole "
+                    f"{address} sent nothing for {timeout:.1f} s, or not the whole "
                     f"response within {total_timeout:.1f} s",
                     ResultCode.STREAM_CUT,
                 )
