--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -72,8 +72,8 @@
         return timeouts
     if timeouts.may_abandon():
         raise UpstreamError(
-            f"no progress within {timeouts.first_event_seconds:.1f} s to the first "
-            f"event or {timeouts.event_gap_seconds:.1f} s between events",
+            f"no progress within {timeouts.first_event_seconds:.2f} s to the first "
+            f"event or {timeouts.event_gap_seconds:.2f} s between events",
             ResultCode.STREAM_CUT,
         )
     return None
