--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -154,9 +154,9 @@
         self.buffer = b""
         self.done = False
 
-    def on_headers(self, exchange):
-        self.status = exchange.status
-        self.not_executed = defaults.NOT_EXECUTED_HEADER in exchange.headers
+    def on_headers(self, response):
+        self.status = response.status
+        self.not_executed = defaults.NOT_EXECUTED_HEADER in response.headers
 
     def on_chunk(self, chunk):
         self.buffer += chunk
@@ -453,7 +453,7 @@
         engine.record_send(self.work, now)
         engine.in_flight += 1
         try:
-            exchange = await upstream.exchange(
+            response = await upstream.exchange(
                 engine.address,
                 "POST",
                 f"/v1/{self.route}",
@@ -470,7 +470,7 @@
             return ""
         finally:
             engine.in_flight -= 1
-        if exchange.status != 200:
+        if response.status != 200:
             router.record_failure(engine, time.monotonic())
             return ""
         return f"{engine.address}/{document['kv_handle']}"
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -332,7 +332,7 @@
 
     async def _send(self, service):
         chunks = []
-        exchange = await upstream.exchange(
+        response = await upstream.exchange(
             service.address,
             self.method,
             f"/v1/{self.route}",
@@ -341,4 +341,4 @@
             chunks.append,
             total_timeout=self.deadline_seconds,
         )
-        return exchange.status, b"".join(chunks)
+        return response.status, b"".join(chunks)
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -63,17 +63,17 @@
             self.reject(request, sink, 400, "no request id")
             return
         service = routes.service_for(route)
-        serving = RequestLifecycle(self, request, route, service, sink)
+        lifecycle = RequestLifecycle(self, request, route, service, sink)
         try:
-            code = await serving.run()
+            code = await lifecycle.run()
         except asyncio.CancelledError:
-            logger.info("client left", **self._summary(serving))
+            logger.info("client left", **self._summary(lifecycle))
             raise
         finally:
             self.fleet.quarantine.record_request_end(
-                request.fingerprint, serving.served, time.monotonic()
+                request.fingerprint, lifecycle.served, time.monotonic()
             )
-        self._log_end(serving, code)
+        self._log_end(lifecycle, code)
 
     def exchange(self, instance, request, options, listener):
         """Return the coroutine that sends ``request`` to ``instance`` once."""
@@ -184,29 +184,29 @@
         self.metrics.rejected.labels(str(status)).inc()
         sink.respond(status, headers, b"")
 
-    def _log_end(self, serving, code):
-        seconds = time.monotonic() - serving.request.arrived
-        self.metrics.latency.labels(serving.route.name, code.name).observe(seconds)
+    def _log_end(self, lifecycle, code):
+        seconds = time.monotonic() - lifecycle.request.arrived
+        self.metrics.latency.labels(lifecycle.route.name, code.name).observe(seconds)
         logger.info(
             "answered",
-            **self._summary(serving),
+            **self._summary(lifecycle),
             code=code.name,
-            cause="" if code is ResultCode.OK else serving.cause,
+            cause="" if code is ResultCode.OK else lifecycle.cause,
         )
 
-    def _summary(self, serving):
+    def _summary(self, lifecycle):
         """Return the log fields that describe a finished request."""
-        arrived = serving.request.arrived
-        first = serving.stream.first_event_at
+        arrived = lifecycle.request.arrived
+        first = lifecycle.stream.first_event_at
         return {
-            "request": serving.request.id,
-            "fingerprint": serving.request.fingerprint,
-            "route": serving.route.name,
-            "service": serving.service,
-            "tokens": serving.request.prompt.tokens,
-            "output": serving.request.prompt.max_output_tokens,
-            "prefills": serving.prefills.made,
-            "sends": serving.sends.made,
+            "request": lifecycle.request.id,
+            "fingerprint": lifecycle.request.fingerprint,
+            "route": lifecycle.route.name,
+            "service": lifecycle.service,
+            "tokens": lifecycle.request.prompt.tokens,
+            "output": lifecycle.request.prompt.max_output_tokens,
+            "prefills": lifecycle.prefills.made,
+            "sends": lifecycle.sends.made,
             "first_event": None if first is None else round(first - arrived, 4),
             "seconds": round(time.monotonic() - arrived, 4),
         }
--- a/src/mulberrydock/upstream.py
+++ b/src/mulberrydock/upstream.py
@@ -40,8 +40,8 @@
 
 
 class _Delegate(tornado.httputil.HTTPMessageDelegate):
-    def __init__(self, exchange, on_headers, on_chunk, record_activity, stream):
-        self.exchange = exchange
+    def __init__(self, response, on_headers, on_chunk, record_activity, stream):
+        self.response = response
         self.on_headers = on_headers
         self.on_chunk = on_chunk
         self.record_activity = record_activity
@@ -49,14 +49,14 @@
         self.error = None
 
     def headers_received(self, start_line, headers):
-        self.exchange.status = start_line.code
-        self.exchange.headers = headers
+        self.response.status = start_line.code
+        self.response.headers = headers
         self.record_activity()
         if self.on_headers:
-            self.on_headers(self.exchange)
+            self.on_headers(self.response)
 
     def data_received(self, chunk):
-        self.exchange.received += len(chunk)
+        self.response.received += len(chunk)
         self.record_activity()
         try:
             self.on_chunk(chunk)
@@ -67,7 +67,7 @@
             self.stream.close()
 
     def finish(self):
-        self.exchange.finished = True
+        self.response.finished = True
 
     def on_connection_close(self):
         pass
@@ -146,8 +146,8 @@
                 break
             timeout = idle_timeout if result.status else first_byte_timeout
             if now - last_activity[0] > timeout or now - started > total_timeout:
-                # The peer or a middlebox has lost the connection's state; only closing
-                # this end stops the wait.
+                # The connection is silent for good: the peer or a middlebox has lost
+                # its state, and only closing this end stops the wait.
                 raise UpstreamError(
                     f"{address} sent nothing for {timeout:.1f} s, or not the whole "
                     f"response within {total_timeout:.1f} s",
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -122,29 +122,29 @@
     relay = types.SimpleNamespace(fleet=view, wire=None)
     request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0)
     route = types.SimpleNamespace(timeout=5.0)
-    serving = RequestLifecycle(relay, request, route, "llm", None)
+    lifecycle = RequestLifecycle(relay, request, route, "llm", None)
     view.budget("llm").allow = lambda now, count=1: False
     for end in ends:
-        serving.sends.record_call()
+        lifecycle.sends.record_call()
         if end == "not sent":
-            serving.reserved_retries += serving.sends.record_not_sent()
-    assert serving.reserve_retries(Plan(None), 0.0) is granted
+            lifecycle.reserved_retries += lifecycle.sends.record_not_sent()
+    assert lifecycle.reserve_retries(Plan(None), 0.0) is granted
 
 
 def test_retry_granted_for_a_call_that_was_not_sent_is_reused():
     view = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     relay = types.SimpleNamespace(fleet=view, wire=None)
     request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0)
-    serving = RequestLifecycle(
+    lifecycle = RequestLifecycle(
         relay, request, types.SimpleNamespace(timeout=5.0), "llm", None
     )
     asked = []
     view.budget("llm").allow = lambda now, count=1: asked.append(count) or True
-    serving.sends.record_call()
+    lifecycle.sends.record_call()
     for _ in range(3):
-        assert serving.reserve_retries(Plan(None), 0.0)
-        serving.sends.record_call()
-        serving.reserved_retries += serving.sends.record_not_sent()
+        assert lifecycle.reserve_retries(Plan(None), 0.0)
+        lifecycle.sends.record_call()
+        lifecycle.reserved_retries += lifecycle.sends.record_not_sent()
     assert asked == [1]
 
 
