--- a/src/mulberrydock/configuration.py
+++ b/src/mulberrydock/configuration.py
@@ -1,9 +1,9 @@
-"""The declared configuration in the store: following it, and patching it.
+"""Follows and patches the declared configuration in the store.
 
-The store key ``config`` holds TOML text; its store version is the
-configuration's version number. A follower applies versions in increasing
-order only and keeps the last accepted one through store outages; a patch is
-a compare-and-swap on the version the operator read.
+The store key ``config`` holds TOML text; its version in the store is the
+configuration's version. A follower applies versions in increasing order only and
+keeps the last accepted one during outages of the store; a patch is a
+compare-and-swap on the version that the operator read.
 """
 
 import asyncio
@@ -22,18 +22,18 @@
 from .settings import declared_to_toml, merge_patch, parse_declared
 from .watch import PrefixWatch
 
-#: Entries asked at a time by one that knows no version yet.
-PEERS_ASKED = 3
-#: Seconds one of them may take to answer.
+#: Number of entries that an entry without a version asks at a time.
+PEERS_PER_ATTEMPT = 3
+#: Timeout of each of these calls.
 PEER_TIMEOUT_SECONDS = 1.0
 
 
 class ConfigFollower:
-    """Task that keeps the newest valid declared configuration.
+    """Keeps the newest valid declared configuration.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
-    :param settings: the process's settings, to check declared names.
-    :param on_change: called with ``(version, declared)`` after each accept.
+    :param settings: the process's settings, against which declared names are checked.
+    :param on_change: called with ``(version, declared)`` after each accepted version.
     """
 
     def __init__(self, store, settings, on_change=None):
@@ -48,9 +48,11 @@
     def accept(self, version, text, now):
         """Apply ``text`` at ``version`` if it is newer and valid.
 
-        :returns: True when applied. An older or equal version is ignored, so
-            the configuration never goes back; an invalid one is logged and
-            ignored, so the last accepted one stays in force.
+        An older or equal version is ignored, so the configuration never goes back; an
+        invalid one is logged and ignored, so the last accepted one stays in force.
+
+        :param now: monotonic seconds.
+        :returns: whether it was applied.
         """
         if version <= self.version:
             return False
@@ -73,19 +75,19 @@
             self.accept(version, value, time.monotonic())
 
     async def run(self):
-        """Follow the key forever; an outage keeps the last accepted version."""
+        """Follow the key until cancelled."""
         await PrefixWatch(self.store, defaults.CONFIG_KEY, self._on_item).run()
 
 
 class PeerConfigFetcher:
-    """Task that learns the configuration from other entries.
+    """Fetches the configuration from other entries while the store is unavailable.
 
-    An entry that starts while the store is down would know only what its
-    settings file declares, which may be older than what was in force on this
-    VM before. Until it has a version of its own it asks other entries; the
-    newest answer counts, and the store's, once it is back, goes on from there.
+    An entry that starts during an outage would only have what its settings file
+    declares, which may be older than what was in force on this VM before. Until it
+    has a version, it asks other entries; the newest answer counts, and newer versions
+    from the store are applied once it is available again.
 
-    :param follower: the :class:`ConfigFollower` to feed.
+    :param follower: the :class:`ConfigFollower` that accepts the versions.
     :param addresses: ``host:port`` of the other entries.
     """
 
@@ -94,8 +96,8 @@
         self.addresses = list(addresses)
         self.http = tornado.httpclient.AsyncHTTPClient()
 
-    async def ask(self, address):
-        """Ask one entry; accept its version if it is newer and valid."""
+    async def fetch(self, address):
+        """Fetch one entry's version and accept it if it is newer and valid."""
         try:
             status, document = await fetch_json(
                 self.http, "GET", address, "/v1/config", timeout=PEER_TIMEOUT_SECONDS
@@ -107,15 +109,17 @@
             self.follower.accept(version, text, time.monotonic())
 
     async def run(self):
-        """Ask a few entries at random until a version is known."""
+        """Ask a few entries chosen at random, until a version is known."""
         while not self.follower.version:
             await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
-            some = random.sample(self.addresses, min(PEERS_ASKED, len(self.addresses)))
-            await asyncio.gather(*[self.ask(address) for address in some])
+            addresses = random.sample(
+                self.addresses, min(PEERS_PER_ATTEMPT, len(self.addresses))
+            )
+            await asyncio.gather(*[self.fetch(address) for address in addresses])
 
 
 async def read_config(store):
-    """Return ``Ok((version, text))``; version 0 and empty text when unset."""
+    """Return ``Ok((version, text))``, with version 0 and empty text when unset."""
     read = await store.get(defaults.CONFIG_KEY)
     if read.is_error():
         return read
@@ -137,19 +141,18 @@
             written = await store.put(defaults.CONFIG_KEY, text, expect_version=0)
             if written.is_ok():
                 return written
-        # Lost answer or conflict: re-read before trying again.
+        # The response was lost or the write conflicted: read before trying again.
         await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
-    return Error(StoreError("could not seed the configuration"))
+    return Error(StoreError("could not write the initial configuration in 20 attempts"))
 
 
 async def patch_config(store, settings, patch_text, expect_version):
     """Merge ``patch_text`` into the configuration at ``expect_version``.
 
-    :returns: ``Ok(new_version)``; ``Error(VersionConflict)`` when the store
-        is no longer at ``expect_version`` (a stale patch, refused);
-        ``Error(SettingsError)`` when the result fails its check;
-        ``Error(StoreError)`` when the store is unreachable, with the code
-        OUTCOME_UNKNOWN when the patch may have taken effect.
+    :returns: ``Ok(new_version)``; ``Error(VersionConflict)`` when the store is no
+        longer at ``expect_version``; ``Error(SettingsError)`` when the merged
+        configuration is invalid; ``Error(StoreError)`` when the store is unavailable,
+        with the code OUTCOME_UNKNOWN when the patch may have taken effect.
     """
     current = await read_config(store)
     if current.is_error():
@@ -171,20 +174,20 @@
     written = await store.put(defaults.CONFIG_KEY, new_text, expect_version=version)
     if written.is_ok() or isinstance(written.error, VersionConflict):
         return written
-    # The answer was lost: the write may have taken effect. Re-read to know.
+    # The response was lost, so the write may have taken effect: read to find out.
     for _ in range(10):
         await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
-        again = await read_config(store)
-        if again.is_ok():
-            if again.ok[1] == new_text and again.ok[0] > version:
-                return Ok(again.ok[0])
-            if again.ok[0] == version:
+        reread = await read_config(store)
+        if reread.is_ok():
+            if reread.ok[1] == new_text and reread.ok[0] > version:
+                return Ok(reread.ok[0])
+            if reread.ok[0] == version:
                 return await patch_config(store, settings, patch_text, version)
-            # Another patch is in force. Ours may have taken effect before it,
-            # and be part of it, or may never have: the operator must look.
+            # Another patch is in force. This one may be part of it, having taken
+            # effect before, or may never have: the operator must check.
             return Error(
                 StoreError(
-                    f"version {again.ok[0]} is in force; whether this patch is "
+                    f"version {reread.ok[0]} is in force; whether this patch is "
                     "part of it is unknown",
                     ResultCode.OUTCOME_UNKNOWN,
                 )
@@ -193,7 +196,7 @@
 
 
 def _dump(document):
-    """Render a merged declared document back to TOML through the checker's form."""
+    """Render a merged declared document as TOML, to be parsed and checked."""
     lines = []
     for key, value in document.items():
         if not isinstance(value, list) or not value or not isinstance(value[0], dict):
--- a/src/mulberrydock/control.py
+++ b/src/mulberrydock/control.py
@@ -1,9 +1,9 @@
-"""The control daemon: one active by lease, it sends fenced orders to engines.
+"""The control daemon: the leader among the controllers sends orders to engines.
 
 Each pass reads every engine, plans roles, and lets the rollout decide which
-engines to hold, order or release. Orders carry the fencing token and the
-engine's order count, so that an engine which ignores tokens still refuses an
-order decided on an older state.
+engines to cordon, order or release. Orders carry the fencing token and the
+engine's order count, so that an engine which doesn't check tokens still refuses
+an order based on an older state.
 """
 
 import asyncio
@@ -23,14 +23,14 @@
 from .rollout import EngineView, Rollout, Target
 from .store import StoreClient
 
-#: Seconds one read of an engine may take.
+#: Timeout of reading an engine's state or load.
 READ_TIMEOUT_SECONDS = 1.0
-#: Declared role that leaves the choice to the planner.
+#: Declared role with which the planner chooses the engine's role.
 AUTO_ROLE = "auto"
 
 
 def make_planner(roles):
-    """Build the role planner that the settings' ``[roles]`` table names."""
+    """Return the role planner selected in the settings' ``[roles]`` table."""
     if roles.planner == "mix":
         return MixRoles(
             roles.goodput_weight,
@@ -42,7 +42,7 @@
 
 
 class Controller:
-    """One controller process. Build with :meth:`from_settings`."""
+    """One controller process. Create it with :meth:`from_settings`."""
 
     def __init__(self, settings, name, store):
         self.settings = settings
@@ -55,7 +55,7 @@
         self.rollout = Rollout()
         self.plan_version = 0
         self.plan_token = 0
-        self.sealed = set()
+        self.fenced = set()
         self.http = tornado.httpclient.AsyncHTTPClient()
 
     @classmethod
@@ -64,7 +64,10 @@
         return cls(settings, name, StoreClient(settings.store.address))
 
     async def read_engine(self, name):
-        """Read one engine; None when it does not answer."""
+        """Return an engine's :class:`~mulberrydock.rollout.EngineView`.
+
+        :returns: None when it doesn't answer.
+        """
         address = self.engines[name].address
         try:
             _, state = await fetch_json(
@@ -92,7 +95,10 @@
         )
 
     async def order(self, view, target):
-        """Send one fenced order, if authority still holds at the moment of sending."""
+        """Send an order with the fencing token, if the lease is valid at that moment.
+
+        :returns: whether the engine accepted it.
+        """
         if not self.lease.valid(time.monotonic()):
             return False
         body = {
@@ -111,7 +117,7 @@
         return status == 200
 
     def targets(self, views, now):
-        """Return the wanted :class:`Target` of every engine that is not leaving."""
+        """Return the desired :class:`Target` of every engine that isn't leaving."""
         declared = self.config.declared
         rows = [o for o in declared.engines if o.engine not in declared.leaving]
         planned = [
@@ -126,10 +132,10 @@
         }
 
     async def adopt_plan(self):
-        """Read the plan that the last active controller left; True on success.
+        """Read the plan that the previous leader wrote; return whether it worked.
 
-        Its holds are taken over as if made now, so an engine that it was
-        emptying is neither forgotten nor ordered too early.
+        Its cordons count from now on, so that an engine that it was draining stays
+        cordoned and isn't ordered too early.
         """
         if self.plan_token == self.lease.authority.token:
             return True
@@ -137,26 +143,26 @@
         if read.is_error():
             return False
         self.rollout = Rollout()
-        self.sealed = set()
+        self.fenced = set()
         self.plan_version = 0
         if read.ok is not None:
             self.plan_version = read.ok.version
             record = records.decode(records.PlanRecord, read.ok.value)
             now = time.monotonic()
-            self.rollout.held = {name: now for name in record.held}
+            self.rollout.cordoned = {name: now for name in record.held}
         self.plan_token = self.lease.authority.token
         return True
 
-    async def write_plan(self, held):
-        """Put the held engines in the store; True when they are there.
+    async def write_plan(self, cordoned):
+        """Write the cordoned engines to the store; return whether it worked.
 
-        A compare-and-swap on the version that this controller last saw: one
-        that has lost its lease fails, as its successor has written since.
+        This is a compare-and-swap on the version that this controller last saw: it
+        fails for a former leader, as its successor has written since.
         """
         if not self.lease.valid(time.monotonic()):
             return False
         record = records.PlanRecord.new_message(
-            holder=self.lease.name, held=sorted(held)
+            holder=self.lease.name, held=sorted(cordoned)
         )
         written = await self.store.put(
             defaults.PLAN_KEY,
@@ -164,49 +170,54 @@
             expect_version=self.plan_version,
         )
         if written.is_error():
-            # The write may have taken effect: read the plan again first.
+            # The write may have taken effect: read the plan again before the next.
             self.plan_token = 0
             return False
         self.plan_version = written.ok
         return True
 
-    async def seal(self, views):
-        """Send each engine, once in this term, an order to stay as it is.
+    async def fence(self, views):
+        """Send each engine, once in this term, an order that changes nothing.
 
-        It raises the engine's order count, and its token where it checks
-        one. An order of an earlier controller that is still on its way, with
-        the count it had read before, is refused from then on.
+        It increases the engine's order count, and its token if it checks tokens. The
+        engine then refuses orders of an earlier leader that arrive late, as they carry
+        the older count.
 
-        :returns: the engines that may be ordered, by name.
+        :returns: the :class:`~mulberrydock.rollout.EngineView` of the engines that may
+            be ordered, by name.
         """
-        fresh = [v for v in views.values() if (v.name, v.instance) not in self.sealed]
-        for view in fresh:
-            if await self.order(view, view.runs):
-                self.sealed.add((view.name, view.instance))
-        # A fresh one's count has just changed: it is ordered in the next pass.
-        return {v.name: v for v in views.values() if v not in fresh}
+        unfenced = [
+            v for v in views.values() if (v.name, v.instance) not in self.fenced
+        ]
+        for view in unfenced:
+            if await self.order(view, view.current_target):
+                self.fenced.add((view.name, view.instance))
+        # The fresh ones' order counts have just changed: they follow in the next pass.
+        return {v.name: v for v in views.values() if v not in unfenced}
 
     async def reconcile(self, now):
-        """One pass over every engine, while this controller is active."""
+        """Make one pass over all engines, as the leader."""
         if not await self.adopt_plan():
             return
         names = [o.engine for o in self.config.declared.engines]
         read = await asyncio.gather(*[self.read_engine(name) for name in names])
-        views = await self.seal({v.name: v for v in read if v is not None})
+        views = await self.fence({v.name: v for v in read if v is not None})
         targets = self.targets(views, now)
         actions = self.rollout.decide(views, targets, now)
-        held = set(self.rollout.held) - set(actions.release) | set(actions.hold)
-        if held != set(self.rollout.held):
-            if not await self.write_plan(held):
+        cordoned = set(self.rollout.cordoned) - set(actions.release) | set(actions.hold)
+        if cordoned != set(self.rollout.cordoned):
+            if not await self.write_plan(cordoned):
                 return
-            in_store = time.monotonic()
-            self.rollout.held = {n: self.rollout.held.get(n, in_store) for n in held}
-            logger.info("plan", held=sorted(held))
+            written_at = time.monotonic()
+            self.rollout.cordoned = {
+                n: self.rollout.cordoned.get(n, written_at) for n in cordoned
+            }
+            logger.info("plan", held=sorted(cordoned))
         for name in actions.order:
             await self.order(views[name], targets[name])
 
     async def run(self):
-        """Run until SIGTERM or SIGINT; then give up the lease."""
+        """Run until SIGTERM or SIGINT, then release the lease."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for signum in (signal.SIGTERM, signal.SIGINT):
--- a/src/mulberrydock/directory.py
+++ b/src/mulberrydock/directory.py
@@ -1,28 +1,28 @@
-"""Which entry VMs clients should use, and whose turn it is to take a duty."""
+"""The entry VMs that clients should use, and the order in which VMs become leader."""
 
 import attrs
 
 from .rendezvous import rank
 
-#: Addresses in one answer; clients read no more.
-ADDRESSES_MAX = 64
-#: Addresses that an answer has at least, as far as there are as many. A client
-#: that got only its own data centre's would know nobody else once that is lost;
-#: eight of them are rarely lost together while the client keeps the answer.
-ADDRESSES_MIN = 8
+#: Maximum number of addresses in a response; clients read no more.
+MAX_ADDRESSES = 64
+#: Minimum number of addresses in a response, if there are as many VMs. A client that
+#: only knew a few VMs of its own data centre would know no other once those fail;
+#: eight rarely fail together while the client keeps the response.
+MIN_ADDRESSES = 8
 
 
 @attrs.define
 class Directory:
-    """Builds the answer to clients that ask where to connect.
+    """Selects the addresses for clients that ask where to connect.
 
-    The load pattern this answers is hundreds of VMs in several data centres: a
-    client gets those of its own data centre, so that its requests don't cross
-    between data centres, which is paid for, and every VM gets its share of the
-    clients, however many VMs there are.
+    Needed with hundreds of VMs in several data centres: a client gets those of its
+    own data centre, so that its requests don't cross between data centres, which is
+    paid for, and every VM gets its share of the clients, however many VMs there are.
 
-    :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which knows
-        who lives.
+    :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which knows the
+        live peers.
+    :param own_address: this VM's own front address.
     """
 
     groups: object
@@ -31,22 +31,26 @@
     def addresses(self, draining, now, data_centre=""):
         """Return front addresses of live VMs that aren't leaving.
 
-        :param data_centre: the client's, empty if it doesn't say.
+        :param draining: whether this VM is draining; it is then left out if there is
+            another one.
+        :param data_centre: the client's data centre, empty if unknown.
         """
-        rows = [(p.data_centre, p.address) for p in self.groups.alive(now).values()]
+        rows = [
+            (p.data_centre, p.address) for p in self.groups.live_peers(now).values()
+        ]
         if not draining or not rows:
             rows.append((self.groups.data_centre, self.own_address))
-        # Each VM answers with a choice of its own where not all addresses fit.
+        # Where not all addresses fit, each VM answers with a different selection.
         name = self.groups.name
         rows.sort(key=lambda row: (row[0] != data_centre, rank(name, row[1])))
         near = sum(row[0] == data_centre for row in rows)
-        count = min(ADDRESSES_MAX, max(near, ADDRESSES_MIN)) if near else ADDRESSES_MAX
+        count = min(MAX_ADDRESSES, max(near, MIN_ADDRESSES)) if near else MAX_ADDRESSES
         return sorted(address for _, address in rows[:count])
 
-    def turn(self, now):
-        """Return how many live VMs come before this one in taking a duty.
+    def takeover_rank(self, now):
+        """Return how many live VMs come before this one in acquiring the leader lease.
 
-        All VMs that know the same peers agree on it.
+        VMs that know the same live peers agree on the order.
         """
         own = rank("duty", self.groups.name)
-        return sum(rank("duty", name) < own for name in self.groups.alive(now))
+        return sum(rank("duty", name) < own for name in self.groups.live_peers(now))
--- a/src/mulberrydock/fleet.py
+++ b/src/mulberrydock/fleet.py
@@ -1,9 +1,8 @@
-"""Start a deployment's whole local fleet as separate processes on loopback.
+"""Starts a whole fleet as separate processes on loopback.
 
-Used by the demo command and the integration tests: the store, VM list,
-engines, services, two controllers and every entry, each its own process.
-This is a harness for one machine; on a real fleet each daemon is started
-by the VM's own service manager.
+Used by the demo command and the integration tests: the store, VM list, engines,
+services, controllers and entries are one process each. This is a harness for a
+single machine; in a real fleet, each VM's service manager starts its daemon.
 """
 
 import fcntl
@@ -26,15 +25,15 @@
 
 from .settings import parse_settings
 
-#: Seconds to wait for the fleet to answer before giving up.
+#: Seconds to wait for each process to answer before giving up.
 START_TIMEOUT_SECONDS = 30.0
-#: Where the kernel says which ports outgoing connections take (Linux).
+#: File with the range of ports that outgoing connections use (Linux).
 EPHEMERAL_RANGE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
-#: Ports from here to the ephemeral range are for test fleets; the embedded
-#: deployments listen below.
-LOWEST_TEST_PORT = 19000
-#: Ports of one process that starts fleets: several of the largest it has at once.
-BLOCK_PORTS = 512
+#: Test fleets use the ports from here to the ephemeral range; the deployments in this
+#: package use ports below.
+MIN_TEST_PORT = 19000
+#: Ports of a process that starts fleets; enough for several of the largest at once.
+PORTS_PER_BLOCK = 512
 
 
 @attrs.define
@@ -63,11 +62,14 @@
         return self.processes[name]
 
     def restart(self, name):
-        """Start the ended process called ``name`` again with its arguments."""
+        """Start the process called ``name`` again, with the same arguments."""
         return self.start(name, *self.commands[name])
 
     def stop(self, names, timeout=30.0):
-        """Send SIGTERM to every process of ``names`` and wait for them to exit."""
+        """Send SIGTERM to the processes of ``names`` and wait for them to exit.
+
+        :param timeout: seconds for each, after which it is killed.
+        """
         processes = [self.processes.pop(name) for name in names]
         for process in processes:
             process.terminate()
@@ -79,13 +81,16 @@
                 process.wait()
 
     def stop_all(self):
-        """Stop every process, entries first so they drain against a live store."""
+        """Stop every process, entries first, so that they drain with a live store."""
         self.stop([n for n in self.processes if n.startswith("entry")])
         self.stop(list(self.processes))
 
 
 def start_fleet(settings, settings_path, controllers=2, policy="", planner=""):
-    """Start every process of ``settings``; return the :class:`Fleet`."""
+    """Start every process of ``settings``; return the :class:`Fleet`.
+
+    :raises TimeoutError: when the store doesn't answer in time.
+    """
     fleet = Fleet(settings_path)
     path = ["--settings", settings_path]
     fleet.start("store", "standin", "store", *path)
@@ -104,7 +109,10 @@
 
 
 def wait_ready(settings):
-    """Wait until every engine has its model and every entry a configuration."""
+    """Wait until every engine is available and every entry has a configuration.
+
+    :raises TimeoutError: when one of them takes too long.
+    """
     for engine in settings.engines:
         wait_for(
             engine.address, "/v1/state", check=lambda b: json.loads(b)["available"]
@@ -118,7 +126,12 @@
 
 
 def wait_for(address, path, timeout=START_TIMEOUT_SECONDS, check=None):
-    """Poll ``http://address/path`` until it answers 200 (and ``check(body)``)."""
+    """Poll ``http://address/path`` until it answers 200; return the body.
+
+    :param timeout: seconds to wait.
+    :param check: called with the body; must be true as well.
+    :raises TimeoutError: when the time is over.
+    """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         try:
@@ -146,16 +159,17 @@
 
 
 class PortBlock:
-    """Ports that no other process on this machine draws while this one lives.
+    """Ports that no other process on this machine allocates while this one runs.
 
-    A port that is drawn is bound only later, by another process; two runs that drew
-    from the same ports would now and then draw the same one, and a daemon of one of
-    them couldn't listen. A file lock, which ends with its process, keeps them apart.
+    An allocated port is bound only later, by another process; two test runs that used
+    the same ports would sometimes allocate the same one, and a daemon of one of them
+    couldn't listen. So each run locks a block of ports by a file lock, which ends
+    with its process.
     """
 
     def __init__(self):
         lowest_ephemeral = int(EPHEMERAL_RANGE.read_text().split()[0])
-        blocks = (lowest_ephemeral - LOWEST_TEST_PORT) // BLOCK_PORTS
+        blocks = (lowest_ephemeral - MIN_TEST_PORT) // PORTS_PER_BLOCK
         for index in random.sample(range(blocks), blocks):
             path = pathlib.Path(tempfile.gettempdir(), f"mulberrydock-ports-{index}")
             self.lock = open(path, "ab")
@@ -164,19 +178,19 @@
             except BlockingIOError:
                 self.lock.close()
                 continue
-            first = LOWEST_TEST_PORT + index * BLOCK_PORTS
-            # Round and round, so that what was drawn a moment ago comes last.
-            self.ports = itertools.cycle(range(first, first + BLOCK_PORTS))
+            first = MIN_TEST_PORT + index * PORTS_PER_BLOCK
+            # Cyclic, so that the most recently allocated ports are reused last.
+            self.ports = itertools.cycle(range(first, first + PORTS_PER_BLOCK))
             return
         raise OSError("every block of ports below the ephemeral range is in use")
 
-    def draw(self, count):
-        """Return ``count`` distinct ports to which nothing is bound.
+    def allocate(self, count):
+        """Return ``count`` distinct ports that aren't bound.
 
         :raises OSError: when the block has fewer.
         """
         ports = []
-        for port in itertools.islice(self.ports, BLOCK_PORTS):
+        for port in itertools.islice(self.ports, PORTS_PER_BLOCK):
             if _is_free(port):
                 ports.append(port)
             if len(ports) == count:
@@ -201,13 +215,13 @@
 def free_ports(count):
     """Return ``count`` distinct free loopback ports below the ephemeral range.
 
-    A port of the ephemeral range that is free now may be taken, before its
-    process listens, as the source port of any outgoing connection; the
-    process then dies with "address in use", or a caller connects to itself.
+    A free port of the ephemeral range may become the source port of any outgoing
+    connection before its process listens; the process then fails with "address in
+    use", or a client connects to itself.
 
-    :raises OSError: when there are none left.
+    :raises OSError: when too few are left.
     """
-    return _port_block().draw(count)
+    return _port_block().allocate(count)
 
 
 def settings_text(ports, engines, entries, engine_ports):
@@ -248,7 +262,10 @@
 
 
 class LocalFleet:
-    """Processes of a test fleet, their settings and the proxies' controls."""
+    """A test fleet: its processes, settings and fault proxies before the engines.
+
+    :param tmp_path: directory for the settings files.
+    """
 
     def __init__(self, tmp_path, engines=2, entries=2):
         tmp_path = pathlib.Path(tmp_path)
@@ -275,7 +292,7 @@
         self.fleet = Fleet(str(self.path))
 
     def start(self, controllers=1):
-        """Start fakes, proxies, controllers and entries; wait until serving."""
+        """Start stand-ins, proxies, controllers and entries; wait until they serve."""
         path = ["--settings", str(self.path)]
         self.fleet.start("store", "standin", "store", *path)
         self.fleet.start("vm-list", "standin", "vmlist", "--lag", "0.5", *path)
@@ -347,15 +364,15 @@
             return json.loads(r.read())
 
     def engine_state(self, index):
-        """The engine's own ``/v1/state``, read past its proxy."""
+        """Return the engine's ``/v1/state``, read directly rather than by its proxy."""
         return self.get(f"127.0.0.1:{self.engine_ports[index]}", "/v1/state")
 
     def store_faults(self, **faults):
-        """Set the fake store's faults (outage, delay_seconds, lose_answers)."""
+        """Set the stand-in store's faults (outage, delay_seconds, lose_answers)."""
         return self.post(self.settings.store.address, "/v1/faults", faults)
 
     def executions(self):
-        """How many times the service ran each idempotency key."""
+        """Return how many times the service executed each idempotency key."""
         return self.get(f"127.0.0.1:{self.ports['service']}", "/v1/executions")[
             "executions"
         ]
@@ -365,7 +382,7 @@
         self.fleet.processes[name].send_signal(signum)
 
     def stop(self):
-        """Stop every process; resume any left paused so it can exit."""
+        """Stop every process, after resuming those that are paused."""
         for process in self.fleet.processes.values():
             process.send_signal(signal.SIGCONT)
         self.fleet.stop_all()
--- a/src/mulberrydock/instance_feed.py
+++ b/src/mulberrydock/instance_feed.py
@@ -1,37 +1,36 @@
-"""Takes the instances' records from the store into the registry."""
+"""Decodes the instances' records in the store for the registry."""
 
 from loguru import logger
 
 from . import platform
 from .exceptions import SettingsError
 
-#: Ids of unreadable records that are remembered, so that each is logged once; a
-#: writer that floods the store with keys must not fill this VM's memory.
-REFUSED_KEPT = 1000
-#: Characters of a foreign text that a log line shows.
-SHOWN_CHARACTERS = 200
+#: Maximum number of ids of unreadable records that are remembered, so that each is
+#: logged once; a writer that floods the store with keys must not exhaust memory.
+MAX_REFUSED_IDS = 1000
+#: Maximum length of a text from the store in a log line.
+MAX_LOGGED_CHARACTERS = 200
 
 
 class InstanceFeed:
-    """Decodes records and hands them to an
-    :class:`~mulberrydock.instances.InstanceRegistry`.
+    """Applies records to an :class:`~mulberrydock.instances.InstanceRegistry`.
 
-    Any writer may put something under the instances' prefix. What can't be read
-    names no instance to use, and harms no other record.
+    Anything may be written under the instances' prefix. A value that can't be
+    decoded adds no instance and doesn't affect other records.
 
-    ``refused`` holds the ids whose record can't be read, until it is good or
-    gone.
+    ``refused_ids`` holds the ids with an unreadable record, until the record is
+    valid or removed.
     """
 
     def __init__(self, registry):
         self.registry = registry
-        self.refused = set()
+        self.refused_ids = set()
 
     def apply(self, key, value, revision, now):
-        """Take one record as it was written, or its removal (``value`` None)."""
+        """Apply one record as written, or its removal when ``value`` is None."""
         instance_id = platform.instance_id(key)
         if value is None:
-            self.refused.discard(instance_id)
+            self.refused_ids.discard(instance_id)
             self.registry.remove(instance_id, now)
             return
         try:
@@ -39,18 +38,18 @@
         except SettingsError as error:
             self._refuse(instance_id, revision, error)
             return
-        self.refused.discard(instance_id)
+        self.refused_ids.discard(instance_id)
         self.registry.put(record, now)
 
     def _refuse(self, instance_id, revision, error):
-        self.registry.spoil(instance_id)
-        if instance_id in self.refused:
+        self.registry.mark_unreadable(instance_id)
+        if instance_id in self.refused_ids:
             return
-        if len(self.refused) < REFUSED_KEPT:
-            self.refused.add(instance_id)
+        if len(self.refused_ids) < MAX_REFUSED_IDS:
+            self.refused_ids.add(instance_id)
         logger.error(
             "instance refused",
-            instance=instance_id[:SHOWN_CHARACTERS],
+            instance=instance_id[:MAX_LOGGED_CHARACTERS],
             revision=revision,
-            error=str(error)[:SHOWN_CHARACTERS],
+            error=str(error)[:MAX_LOGGED_CHARACTERS],
         )
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -1,8 +1,8 @@
-"""What this VM believes of the upstream instances, and since when.
+"""Registry of the upstream instances, as one entry VM knows them.
 
-Instances register themselves in the store; this registry follows those
-records. What this VM saw itself (an instance that is leaving, or another one
-at its address) binds at once, whatever the store says.
+Instances register themselves in the store, and the registry follows those
+records. What this VM observed itself (an instance that is leaving, or another
+one at its address) takes effect at once and overrides the store.
 """
 
 import enum
@@ -10,22 +10,22 @@
 import attrs
 from loguru import logger
 
-#: Seconds after the store's return within which records that lapsed during
-#: its outage come back if their instance lives (the platform's promise).
+#: Seconds after the end of a store outage within which a live instance whose record
+#: expired during the outage registers again (guaranteed by the platform).
 STORE_RECOVERY_GRACE_SECONDS = 2.0
-#: Seconds for which it is remembered that an instance has left: a store that comes back
-#: from a copy some seconds old still has its record.
-DEPARTED_SECONDS = 60.0
-#: Seconds after the store came back from an older copy for which its record of such an
-#: instance is in doubt. Instances write theirs again, and those of instances that
-#: don't are removed after a few heartbeats.
-DOUBT_SECONDS = 5.0
-#: Instances that have left which are remembered.
-DEPARTED_KEPT = 1000
+#: Seconds for which the removal of an instance's record is remembered: a store that is
+#: restored from a copy some seconds old contains the record again.
+REMOVED_RETENTION_SECONDS = 60.0
+#: Seconds after the store was restored from an older copy for which the record of a
+#: removed instance is unconfirmed. Live instances write their records again; those of
+#: instances that don't are removed after a few heartbeats.
+UNCONFIRMED_SECONDS = 5.0
+#: Maximum number of removed instances that are remembered.
+MAX_REMOVED_IDS = 1000
 
 
 class Stage(enum.Enum):
-    """What an engine does: prefill prompts, or decode; plain services have none."""
+    """The stage that an engine serves; instances of other services have none."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -34,10 +34,10 @@
 
 @attrs.define(frozen=True)
 class InstanceRecord:
-    """One instance as it registered itself; ``slots`` are places at once.
+    """An instance's own record in the store.
 
-    ``started_at_ms`` is the Unix time of its start in milliseconds, None when it
-    doesn't say.
+    ``slots`` is the number of requests that it serves at once; ``started_at_ms`` is the
+    Unix time of its start in milliseconds, None if the record has none.
     """
 
     id: str
@@ -51,10 +51,10 @@
 
     @property
     def incarnation(self):
-        """Name of one start of the instance.
+        """Identifier of one run of the instance, from its start to its end.
 
-        An instance may start again under its id; it then knows nothing of
-        before, so whatever is remembered of it is kept under this name.
+        An instance may restart under the same id and has then lost its state, so
+        everything that is stored about an instance is keyed by its incarnation.
         """
         return (
             self.id if self.started_at_ms is None else f"{self.id}@{self.started_at_ms}"
@@ -63,10 +63,10 @@
 
 @attrs.define(frozen=True)
 class EngineReport:
-    """What an engine reports of itself, some hundred milliseconds late.
+    """An engine's report of its own state, some hundred milliseconds old.
 
-    ``busy`` while an order is being carried out; ``orders`` counts those it
-    accepted since its start, which was at ``started_at_ms`` as in its record.
+    ``busy`` is true while an order is being carried out; ``orders`` counts the
+    orders accepted since its start at ``started_at_ms`` (as in :class:`InstanceRecord`).
     """
 
     stage: Stage
@@ -79,20 +79,21 @@
 class Instance:
     """One incarnation of a registered instance.
 
-    ``leaving`` when it takes no new work, ``terminated`` when it has left the
-    registry, ``spoiled`` while its record can't be read; ``lapsed_at`` is since
-    when its record is missing after an outage of the store.
+    ``leaving`` is set when it accepts no new work, ``terminated`` when it has been
+    removed from the registry, ``unreadable`` while its record can't be decoded;
+    ``expired_at`` is the time since which its record has been missing because of a
+    store outage.
     """
 
     record: InstanceRecord
     leaving: bool = False
-    lapsed_at: float | None = None
-    spoiled: bool = False
+    expired_at: float | None = None
+    unreadable: bool = False
     terminated: bool = False
 
     @property
     def id(self):
-        """The incarnation's name; the wire's id is in the record."""
+        """The incarnation; the instance's id on the wire is in the record."""
         return self.record.incarnation
 
     @property
@@ -100,47 +101,49 @@
         return self.record.address
 
 
-def _older(record, known):
-    """True when ``record`` is of an earlier start than the ``known`` one."""
+def _is_older(record, known):
+    """Return whether ``record`` is from an earlier incarnation than ``known``."""
     if record.started_at_ms is None or known.started_at_ms is None:
         return False
     return record.started_at_ms < known.started_at_ms
 
 
 class InstanceRegistry:
-    """Instances by id; every decision takes the present time.
+    """The known instances by id.
 
-    :param on_gone: called with the incarnation's name of an instance that left
-        the registry.
+    Methods take the current time as ``now``, in monotonic seconds.
 
-    ``ended`` holds names of incarnations that are over, ``departed`` when others were
-    last seen to have left, ``doubted`` records of those that an older copy of the
-    store holds.
+    :param on_gone: called with the incarnation of each instance that is removed
+        from the registry.
+
+    ``terminated_ids`` holds the incarnations known to have terminated. ``removed_at``
+    maps others to the time when their record was last removed, and ``unconfirmed``
+    holds the records of those that a restored store contains again.
     """
 
     def __init__(self, on_gone=lambda instance_id: None):
         self.instances = {}
-        self.ended = set()
-        self.departed = {}
-        self.doubted = {}
-        self.doubt_until = None
-        # Ids that the full read in progress has brought so far.
-        self.read = set()
+        self.terminated_ids = set()
+        self.removed_at = {}
+        self.unconfirmed = {}
+        self.unconfirmed_until = None
+        # Ids that the full read in progress has returned so far.
+        self.read_ids = set()
         self.on_gone = on_gone
-        self.store_lost_at = None
-        self.store_back_at = -STORE_RECOVERY_GRACE_SECONDS
+        self.unavailable_since = None
+        self.available_since = -STORE_RECOVERY_GRACE_SECONDS
 
     def put(self, record, now):
-        """Take a record from the store."""
-        self.read.add(record.id)
-        if record.incarnation in self.ended:
-            # A record read late must not bring back what is over.
+        """Apply a record read from the store."""
+        self.read_ids.add(record.id)
+        if record.incarnation in self.terminated_ids:
+            # A record that is read late must not revive a terminated incarnation.
             return
-        if self._in_doubt(record, now):
-            self.doubted[record.id] = record
+        if self._is_unconfirmed(record, now):
+            self.unconfirmed[record.id] = record
             return
-        known = self._same_start(record)
-        if known is not None and _older(record, known.record):
+        known = self._match_incarnation(record)
+        if known is not None and _is_older(record, known.record):
             logger.info("older instance record ignored", instance=record.incarnation)
             return
         if known is None:
@@ -159,138 +162,151 @@
                 stage=record.stage.value,
             )
         known.record = record
-        known.lapsed_at = None
-        known.spoiled = False
+        known.expired_at = None
+        known.unreadable = False
         if record.draining and not known.leaving:
             known.leaving = True
             logger.info("instance draining", instance=record.incarnation)
 
     def handle_store_restored(self, now):
-        """The store came back from an older copy: records in it may be of instances
-        that have left since, and others are yet to be written again."""
+        """Handle a store that was restored from an older copy.
+
+        It may contain records of instances that have left since, and it lacks
+        records that are yet to be written again.
+        """
         self.mark_store_unavailable(now)
         self.mark_store_available(now)
-        self.doubt_until = now + DOUBT_SECONDS
-        self.departed = {
+        self.unconfirmed_until = now + UNCONFIRMED_SECONDS
+        self.removed_at = {
             name: at
-            for name, at in self.departed.items()
-            if now - at <= DEPARTED_SECONDS
+            for name, at in self.removed_at.items()
+            if now - at <= REMOVED_RETENTION_SECONDS
         }
 
-    def _in_doubt(self, record, now):
-        if self.doubt_until is None or now >= self.doubt_until:
+    def _is_unconfirmed(self, record, now):
+        if self.unconfirmed_until is None or now >= self.unconfirmed_until:
             return False
-        return record.incarnation in self.departed
+        return record.incarnation in self.removed_at
 
-    def _settle_doubts(self, now):
-        """Take the records of those that live after all."""
-        if self.doubt_until is None or now < self.doubt_until:
+    def _apply_unconfirmed(self, now):
+        """Apply the unconfirmed records that were not removed in time."""
+        if self.unconfirmed_until is None or now < self.unconfirmed_until:
             return
-        doubted, self.doubted, self.doubt_until = self.doubted, {}, None
-        for record in doubted.values():
+        unconfirmed, self.unconfirmed, self.unconfirmed_until = (
+            self.unconfirmed,
+            {},
+            None,
+        )
+        for record in unconfirmed.values():
             self.put(record, now)
 
-    def _same_start(self, record):
-        """Return what is known of the instance, None if it has started anew.
+    def _match_incarnation(self, record):
+        """Return the known incarnation that ``record`` is about, or a later one.
 
-        Neither the start nor the address changes while an instance lives. What
-        is known of a former start must go before anything is sent to the new
-        one: its cache, its order count and the requests on it are gone.
+        A different start time or address means that the instance has restarted.
+        The former incarnation is then dropped and None returned: its cache, its
+        order count and its requests are lost, and nothing stored about it may be
+        used for the new one.
         """
         known = self.instances.get(record.id)
-        if known is None or _older(record, known.record):
+        if known is None or _is_older(record, known.record):
             return known
         if known.id == record.incarnation and known.address == record.address:
             return known
         if known.id != record.incarnation:
-            self.ended.add(known.id)
+            self.terminated_ids.add(known.id)
         self._drop(record.id, "started again")
         return None
 
-    def spoil(self, instance_id):
-        """The instance's record can't be read any more.
+    def mark_unreadable(self, instance_id):
+        """Record that the instance's record can't be decoded.
 
-        Nothing new is sent there until it is good again, as nobody vouches for
-        where the instance is or whether it leaves. Requests in progress stay:
-        a spoiled record is no sign that the instance failed, and a living one
-        writes its own again with its next heartbeat.
+        The instance gets no new work until its record is valid again, as its
+        address and whether it is leaving are unknown. Requests in progress go on:
+        an unreadable record doesn't mean that the instance failed, and a live one
+        rewrites its record with its next heartbeat.
         """
-        self.read.add(instance_id)
+        self.read_ids.add(instance_id)
         known = self.instances.get(instance_id)
         if known is not None:
-            known.spoiled = True
+            known.unreadable = True
 
-    def restarted(self, instance, started_at_ms):
-        """The instance itself says that it was born later than its record does."""
+    def mark_restarted(self, instance, started_at_ms):
+        """Drop an incarnation whose instance reports a later start than its record.
+
+        :param born: the start that the instance reports, in Unix milliseconds.
+        """
         if self.instances.get(instance.record.id) is instance:
-            self.ended.add(instance.id)
+            self.terminated_ids.add(instance.id)
             self._drop(instance.record.id, f"started again at {started_at_ms}")
 
     def remove(self, instance_id, now):
-        """Take a removed record: gone at once, or held if the store was away.
+        """Apply the removal of an instance's record.
 
-        Records lapse while the store is away although their instances live;
-        those are back within the grace. Any other removal means it leaves.
+        During an outage of the store, records expire although their instances are
+        alive; such an instance stays in use and has a grace period to register
+        again. Any other removal means that the instance has left, and it is
+        dropped at once.
         """
-        self.doubted.pop(instance_id, None)
+        self.unconfirmed.pop(instance_id, None)
         known = self.instances.get(instance_id)
         if known is None:
             return
-        if self.unsettled(now):
-            if known.lapsed_at is None:
-                known.lapsed_at = now
+        if self.records_incomplete(now):
+            if known.expired_at is None:
+                known.expired_at = now
                 logger.info("instance record lapsed", instance=instance_id)
             return
-        self._depart(instance_id, "record removed", now)
+        self._remove(instance_id, "record removed", now)
 
     def begin_reload(self):
-        """A full read of the records follows."""
-        self.read.clear()
+        """Start a full read: the records of all instances follow."""
+        self.read_ids.clear()
 
     def finish_reload(self, now):
-        """A full read is applied: records that it lacked are removed ones."""
+        """End a full read: remove the instances whose records it did not contain."""
         for instance_id in list(self.instances):
-            if instance_id not in self.read:
+            if instance_id not in self.read_ids:
                 self.remove(instance_id, now)
 
     def mark_store_unavailable(self, now):
-        """The store stopped answering this VM."""
-        if self.store_lost_at is None:
-            self.store_lost_at = now
+        """Record that the store doesn't answer this VM."""
+        if self.unavailable_since is None:
+            self.unavailable_since = now
 
     def mark_store_available(self, now):
-        """The store answers again."""
-        if self.store_lost_at is not None:
-            self.store_lost_at = None
-            self.store_back_at = now
+        """Record that the store answers."""
+        if self.unavailable_since is not None:
+            self.unavailable_since = None
+            self.available_since = now
 
-    def unsettled(self, now):
-        """True while records may be missing whose instances live."""
-        away = self.store_lost_at is not None
-        return away or now < self.store_back_at + STORE_RECOVERY_GRACE_SECONDS
+    def records_incomplete(self, now):
+        """Return whether records of live instances may be missing from the store."""
+        unavailable = self.unavailable_since is not None
+        return unavailable or now < self.available_since + STORE_RECOVERY_GRACE_SECONDS
 
     def sweep(self, now):
-        """Drop lapsed instances whose grace is over."""
-        self._settle_doubts(now)
-        if self.unsettled(now):
+        """Remove instances whose record is still missing after the grace period."""
+        self._apply_unconfirmed(now)
+        if self.records_incomplete(now):
             return
         for instance_id, instance in list(self.instances.items()):
-            if instance.lapsed_at is not None:
+            if instance.expired_at is not None:
                 reason = "record still missing after the outage"
-                self._depart(instance_id, reason, now)
-
-    def _depart(self, instance_id, reason, now):
-        """An instance has left by the store's word; it may come back."""
-        self.departed.pop(self.instances[instance_id].id, None)
-        self.departed[self.instances[instance_id].id] = now
-        while len(self.departed) > DEPARTED_KEPT:
-            del self.departed[next(iter(self.departed))]
+                self._remove(instance_id, reason, now)
+
+    def _remove(self, instance_id, reason, now):
+        """Remove an instance whose record the store removed; it may register again."""
+        self.removed_at.pop(self.instances[instance_id].id, None)
+        self.removed_at[self.instances[instance_id].id] = now
+        while len(self.removed_at) > MAX_REMOVED_IDS:
+            del self.removed_at[next(iter(self.removed_at))]
         self._drop(instance_id, reason)
 
     def mark_terminated(self, instance, reason):
-        """This VM saw itself that ``instance`` is over or not there."""
+        """Record that this VM found ``instance`` terminated or not at its address."""
         if self.instances.get(instance.record.id) is instance:
-            self.ended.add(instance.id)
+            self.terminated_ids.add(instance.id)
             self._drop(instance.record.id, reason)
 
     def _drop(self, instance_id, reason):
@@ -301,23 +317,26 @@
         self.on_gone(instance.id)
 
     def serving(self, service, stage=None):
-        """Instances of ``service`` that may take new work, optionally by stage."""
+        """Return the instances of ``service`` that accept new work.
+
+        :param stage: the only :class:`Stage` to return, None for all.
+        """
         return [
             i
             for i in self.instances.values()
             if i.record.service == service
             and not i.leaving
-            and not i.spoiled
+            and not i.unreadable
             and (stage is None or i.record.stage is stage)
         ]
 
-    def named(self, incarnation):
-        """Return the instance of that incarnation, None when it isn't known."""
+    def get_incarnation(self, incarnation):
+        """Return the instance with that incarnation, None when it isn't known."""
         instance = self.instances.get(incarnation.partition("@")[0])
         return instance if instance and instance.id == incarnation else None
 
     def any_leaving(self, service):
-        """True while an instance of ``service`` is known to be leaving."""
+        """Return whether an instance of ``service`` is leaving."""
         return any(
             i.leaving and i.record.service == service for i in self.instances.values()
         )
--- a/src/mulberrydock/lease.py
+++ b/src/mulberrydock/lease.py
@@ -1,7 +1,8 @@
-"""The lease that makes one controller the active one, and its fencing token.
+"""Leader election: a lease in the store, and its holder's fencing token.
 
-The holder writes ``control/leader`` under a lease; the store's era and the version of
-that write make the fencing token, larger for every new holder.
+The leader writes ``control/leader`` under a lease. The store's era, which rises when
+the store is restored from an older copy, and the version of that write make up the
+fencing token; it is larger for every new leader.
 """
 
 import asyncio
@@ -12,18 +13,18 @@
 
 from . import defaults, records
 
-#: Share of the lease ttl after the last renewal within which orders may go.
+#: Share of the lease ttl after the last renewal within which orders may be sent.
 SAFE_LEASE_SHARE = 0.6
 #: Share of the lease ttl between two renewals.
-RENEW_SHARE = 1 / 3
-#: Versions that one era of the store may give out: a store that comes back from an
-#: older copy counts on from there, and its era is one higher.
-ERA_VERSIONS = 2**32
+RENEW_INTERVAL_SHARE = 1 / 3
+#: Versions that the store may use in one era: a store that is restored from an older
+#: copy goes on counting from there, in an era that is one higher.
+VERSIONS_PER_ERA = 2**32
 
 
 @attrs.define
 class Authority:
-    """The lease a controller holds, if any, and when it was last renewed."""
+    """The lease that a controller holds, if any; times are the clock's seconds."""
 
     lease: int = 0
     token: int = 0
@@ -31,28 +32,29 @@
     acquired_at: float = 0.0
 
     def valid(self, now, ttl):
-        """True while orders may go: held and renewed recently enough.
+        """Return whether orders may be sent: held and renewed recently enough.
 
-        A controller paused past its lease wakes with a stale ``renewed_at``
-        and so stops before it sends anything. ``renewed_at`` is when the
-        renewal was sent, so the store never ends the lease earlier.
+        A controller that was suspended beyond its lease resumes with an old
+        ``renewed_at`` and so sends nothing. ``renewed_at`` is when the renewal was
+        sent, so the lease expires at the store no earlier than ``ttl`` after it.
         """
         return self.token > 0 and now - self.renewed_at < ttl * SAFE_LEASE_SHARE
 
 
 class LeaderLease:
-    """Task that takes and renews the leader lease.
+    """Acquires and renews the leader lease.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
-    :param name: this controller's name, written in the leader record.
+    :param name: this controller's name, written to the leader record.
     :param ttl: seconds of the lease.
-    :param vacant: returns False while the leader record is known to exist, so
-        that no call is spent on an attempt that must fail.
-    :param clock: returns the present time; one that counts the seconds for
-        which a VM is suspended keeps a woken holder from using a lost lease.
-    :param turn: returns the seconds for which this controller leaves a vacant
-        lease to others. An attempt takes four calls, and of all that try at once
-        one succeeds: where the calls are paid for, candidates take turns.
+    :param is_vacant: returns False while the leader record is known to exist, so
+        that no calls are made for an attempt that must fail.
+    :param clock: returns the current time in seconds. It should count the time for
+        which a VM is suspended, so that a resumed leader doesn't use a lost lease.
+    :param takeover_delay: returns the seconds for which this controller leaves a
+        vacant lease to others. An attempt takes four calls, and only one of those
+        made at the same time succeeds; where calls are paid for, candidates take
+        turns.
     """
 
     def __init__(
@@ -60,25 +62,25 @@
         store,
         name,
         ttl,
-        vacant=lambda: True,
+        is_vacant=lambda: True,
         clock=time.monotonic,
-        turn=lambda: 0.0,
+        takeover_delay=lambda: 0.0,
     ):
         self.store = store
         self.name = name
         self.ttl = ttl
-        self.vacant = vacant
+        self.is_vacant = is_vacant
         self.clock = clock
-        self.turn = turn
+        self.takeover_delay = takeover_delay
         self.vacant_since = None
         self.authority = Authority()
 
     def valid(self, now):
-        """True while this controller may send orders at ``now``."""
+        """Return whether this controller may send orders at ``now``."""
         return self.authority.valid(now, self.ttl)
 
     async def acquire(self, now):
-        """Try to become active; True when this controller now holds the lease."""
+        """Try to become the leader; return whether this controller holds the lease."""
         granted = await self.store.grant(self.ttl)
         if granted.is_error():
             return False
@@ -90,29 +92,32 @@
             defaults.LEADER_KEY, record, expect_version=0, lease=granted.ok
         )
         if written.is_error():
-            # A lost answer may leave the key under our lease: read it back.
+            # The write may have succeeded although its response was lost: read it.
             read = await self.store.get(defaults.LEADER_KEY)
             if read.is_error() or read.ok is None or read.ok.lease != granted.ok:
-                # Another holder, or unknown: this lease must not linger.
+                # There is another leader, or it is unknown: don't keep this lease.
                 await self.store.revoke(granted.ok)
                 return False
             version = read.ok.version
         else:
             version = written.ok
         if era != (self.store.era or 0):
-            # The store has lost that lease.
+            # The store was restored from an older copy and has lost the lease.
             return False
-        token = era * ERA_VERSIONS + version
+        token = era * VERSIONS_PER_ERA + version
         self.authority = Authority(granted.ok, token, now, self.clock())
         logger.info("control active", token=token)
         return True
 
-    def forget(self):
-        """The store has lost the lease: its id may be another's by now."""
+    def discard(self):
+        """Drop the lease without revoking it, as the store has lost it.
+
+        Its id may have been given to another client since.
+        """
         self.authority = Authority()
 
     async def renew(self, now):
-        """Renew the lease; drop authority when it has lapsed."""
+        """Renew the lease; drop the authority if it has expired."""
         authority = self.authority
         renewed = await self.store.keepalive(authority.lease)
         if self.authority is not authority:
@@ -124,25 +129,25 @@
             self.authority = Authority()
 
     async def run(self):
-        """Keep or take the lease, forever, apart from whatever orders wait for."""
+        """Renew or acquire the lease until cancelled, independently of any orders."""
         while True:
             if self.authority.token:
                 await self.renew(self.clock())
-            elif self.due(self.clock()):
+            elif self.may_acquire(self.clock()):
                 await self.acquire(self.clock())
-            await asyncio.sleep(self.ttl * RENEW_SHARE)
+            await asyncio.sleep(self.ttl * RENEW_INTERVAL_SHARE)
 
-    def due(self, now):
-        """True when the lease is vacant and it is this controller's turn."""
-        if not self.vacant():
+    def may_acquire(self, now):
+        """Return whether the lease is vacant and this controller's turn has come."""
+        if not self.is_vacant():
             self.vacant_since = None
             return False
         if self.vacant_since is None:
             self.vacant_since = now
-        return now - self.vacant_since >= self.turn()
+        return now - self.vacant_since >= self.takeover_delay()
 
     async def release(self):
-        """Give the lease up, so another controller can take it at once."""
+        """Revoke the lease, so that another controller can acquire it at once."""
         if self.authority.lease:
             await self.store.revoke(self.authority.lease)
             self.authority = Authority()
--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -1,9 +1,9 @@
-"""Registration of entry daemons in the store and the view of their peers.
+"""Registration of entry daemons in the store, and the list of their peers.
 
-Each entry keeps ``entries/<name>`` alive under a lease; a draining entry
-rewrites its record with ``leaving`` set. Peers follow the prefix by watch,
-so callers asking any entry learn of a leaving one within one watch round
-trip, without waiting for the lagging VM list.
+Each entry keeps its record ``entries/<name>`` in the store under a lease; a
+draining entry rewrites the record with ``leaving`` set. Peers watch the prefix,
+so every entry stops listing a leaving one within one round trip of the watch,
+without waiting for the VM list, which lags.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 from . import defaults, records
 from .watch import PrefixWatch
 
-#: Seconds between two looks at whether this entry's record is still there.
-CHECK_SECONDS = 0.2
+#: Seconds between two checks of this entry's registration.
+CHECK_INTERVAL_SECONDS = 0.2
 
 
 @attrs.define(frozen=True)
 class Peer:
-    """An entry VM as it registered itself; addresses are ``host:port``.
+    """An entry VM as registered; addresses are ``host:port``.
 
-    ``peer_address`` takes the datagrams of its peers and may be empty.
+    ``peer_address`` is where it receives datagrams of its peers, empty if nowhere.
     """
 
     address: str
@@ -32,15 +32,17 @@
 
 
 class Membership:
-    """Task that registers this entry and follows the others.
+    """Registers this entry and follows the records of the others.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param entry: this entry's settings row.
     :param ttl: seconds of the registration lease.
-    :param peer_address: where this entry takes datagrams, empty if nowhere.
+    :param peer_address: ``host:port`` where this entry receives datagrams, empty if
+        nowhere.
 
-    ``lapsed`` holds entries whose record is gone: the store may have lost the
-    lease during an outage while the entry lives.
+    ``peers`` maps names to registered entries. ``expired`` holds those whose record
+    was removed: the store may have dropped the lease in an outage while the entry
+    is alive.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self.registered = False
         self.leaving = False
         self.peers = {}
-        self.lapsed = {}
+        self.expired = {}
 
     @property
     def key(self):
@@ -67,11 +69,11 @@
     def count_vms(self):
         """Return the number of entry VMs that may be alive, this one included.
 
-        VMs whose record is gone still count: the store may have dropped all
-        records at once, and then each VM alone would take the whole fleet's
-        retry budget and connections.
+        VMs whose record was removed still count: the store may have dropped all
+        records at once, and each VM would then use the retry budget and the
+        connections of the whole fleet.
         """
-        return len({self.entry.name, *self.peers, *self.lapsed})
+        return len({self.entry.name, *self.peers, *self.expired})
 
     def _record(self):
         return records.encode(
@@ -86,7 +88,7 @@
         )
 
     async def register(self):
-        """Take a lease and write this entry's record; True on success."""
+        """Create a lease and write this entry's record; return whether it worked."""
         granted = await self.store.grant(self.ttl)
         if granted.is_error():
             return False
@@ -96,7 +98,10 @@
         return self.registered
 
     async def mark_leaving(self):
-        """Rewrite the record with ``leaving`` set; peers stop listing us."""
+        """Rewrite the record with ``leaving`` set, so that peers stop listing this VM.
+
+        :returns: False when five attempts failed.
+        """
         self.leaving = True
         self.peers.pop(self.entry.name, None)
         for _ in range(5):
@@ -106,22 +111,24 @@
             await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
         return False
 
-    def forget_lease(self):
-        """The store has lost the lease, and its id may be another's by now: register
-        anew."""
+    def discard_lease(self):
+        """Register again, as the store has lost the lease.
+
+        Its id may have been given to another entry since.
+        """
         self.lease = 0
         self.registered = False
 
     async def leave(self):
-        """Revoke the lease, which deletes the record."""
+        """Revoke the lease; the store then deletes the record."""
         if self.lease:
             await self.store.revoke(self.lease)
 
     async def keep_alive(self):
-        """Renew the lease every third of its ttl; re-register when it lapsed.
+        """Renew the lease every third of its ttl; register again if it has expired.
 
-        The store may also drop the record alone, which no call shows; the
-        watch does, and then the record is written again at once.
+        The store may also drop the record but not the lease. No call reports that;
+        the watch does, and the record is then written again at once.
         """
         renewed_at = 0.0
         while True:
@@ -134,22 +141,22 @@
             elif now - renewed_at >= self.ttl / 3:
                 self.registered = await self._renew()
                 renewed_at = now
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def _renew(self):
         lease = self.lease
         renewed = await self.store.keepalive(lease)
-        # An outage is not a lapse: keep the lease id and try again.
+        # An error doesn't mean that the lease has expired: keep it and try again.
         return lease == self.lease and (renewed.is_error() or renewed.ok)
 
     def apply(self, key, value, version):
-        """Take one entry's record, or its removal when ``value`` is None."""
+        """Apply one entry's record, or its removal when ``value`` is None."""
         name = key[len(defaults.ENTRY_PREFIX) :]
         if value is None:
-            self._lapse(name)
+            self._expire(name)
             return
         record = records.decode(records.EntryRecord, value)
-        self.lapsed.pop(name, None)
+        self.expired.pop(name, None)
         if record.leaving:
             self.peers.pop(name, None)
             logger.info("peer leaving", peer=name, revision=version)
@@ -158,21 +165,21 @@
             logger.info("peer seen", peer=name, revision=version)
         self.peers[name] = Peer(record.address, record.dataCentre, record.peerAddress)
 
-    def _lapse(self, name):
+    def _expire(self, name):
         peer = self.peers.pop(name, None)
         if peer is not None:
-            self.lapsed[name] = peer
+            self.expired[name] = peer
             logger.info("peer record gone", peer=name)
         if name == self.entry.name:
             self.registered = False
 
     def begin_reload(self):
-        """A full read follows: what it lacks has lapsed."""
-        self.lapsed.update(self.peers)
+        """Start a full read: entries that it lacks count as expired."""
+        self.expired.update(self.peers)
         self.peers.clear()
 
     def finish_reload(self):
-        """A full read is applied: our own record must be among the others."""
+        """End a full read: register again if it lacked this entry's own record."""
         if self.entry.name not in self.peers:
             self.registered = False
 
--- a/src/mulberrydock/peer_groups.py
+++ b/src/mulberrydock/peer_groups.py
@@ -1,30 +1,31 @@
-"""Whom an entry VM tells what it knows, in a fleet of any size.
+"""Chooses the peers to which an entry VM sends its messages.
 
-The load pattern this answers is hundreds of VMs that each have a few requests in
-flight. Told to everybody, a VM's counts are seconds old by the time it may send the
-next, as its messages a second are bounded; and most of them cross between data
-centres, which is paid for. So in a large fleet a VM tells its own data centre, and
-a few reporters of each data centre tell the others the sum.
+Needed in fleets of hundreds of VMs that each have a few requests in flight: with
+messages to all peers, a VM's counts would be seconds old before it could send the
+next ones, as its messages per second are bounded; and most messages would cross
+between data centres, which is paid for. So in a large fleet a VM sends to its own
+data centre only, and a few reporters of each data centre send its sum to the others.
 """
 
 import attrs
 
 from .rendezvous import rank
 
-#: Peers up to which a VM tells everybody itself.
-DIRECT_PEERS = 24
-#: VMs of a data centre that tell the others its sum and pass theirs on. With two,
-#: one that is lost or slow is not missed until the next takes its place.
-REPORTERS = 2
+#: Maximum number of peers in a fleet whose VMs all send to each other.
+MAX_DIRECT_PEERS = 24
+#: VMs of a data centre that send its sum to the others and relay theirs. With two,
+#: the sums still arrive when one fails or is slow, until another takes its place.
+REPORTERS_PER_DATA_CENTRE = 2
 
 
 @attrs.define
 class PeerGroups:
-    """Decides from the members of the fleet; ``data_centre`` is this VM's.
+    """The peers of this VM by role.
 
     :param membership: the :class:`~mulberrydock.membership.Membership`.
-    :param book: the :class:`~mulberrydock.peer_loads.LoadTracker`, which knows who
-        is heard.
+    :param tracker: the :class:`~mulberrydock.peer_loads.LoadTracker`, whose reports
+        show which peers are reachable.
+    :param data_centre: the data centre of this VM.
     """
 
     membership: object
@@ -36,63 +37,69 @@
         """This VM's name."""
         return self.membership.entry.name
 
-    def known(self):
-        """Return the peers that may live, by name, this VM not among them."""
-        peers = self.membership.lapsed | self.membership.peers
+    def known_peers(self):
+        """Return the peers that may be alive, by name, without this VM."""
+        peers = self.membership.expired | self.membership.peers
         peers.pop(self.name, None)
         return {name: peer for name, peer in peers.items() if peer.peer_address}
 
-    def direct(self):
-        """Return the peers that this VM tells each of its messages, by name."""
-        known = self.known()
-        if len(known) <= DIRECT_PEERS:
+    def direct_peers(self):
+        """Return the peers that receive each message of this VM, by name."""
+        known = self.known_peers()
+        if len(known) <= MAX_DIRECT_PEERS:
             return known
         return {n: p for n, p in known.items() if p.data_centre == self.data_centre}
 
-    def grouped(self):
-        """True when data centres tell each other only their sums."""
-        return len(self.known()) > DIRECT_PEERS
+    def is_grouped(self):
+        """Return whether data centres send each other only their sums."""
+        return len(self.known_peers()) > MAX_DIRECT_PEERS
 
     def senders(self, now):
-        """Return the names of the VMs that may send to instances, this one included
-        unless it leaves.
+        """Return the names of the VMs that may send requests to instances.
 
-        A VM whose record is gone may live, as the store loses records in an outage:
-        it counts while it is heard, or for as long as it can't be.
+        This VM is included unless it is leaving. A VM whose record was removed may
+        be alive, as the store drops records in an outage: it counts while its
+        messages arrive, or always if it doesn't send to this VM.
         """
-        reports, direct = self.tracker.reports, self.direct()
+        reports, direct = self.tracker.reports, self.direct_peers()
         silent = {
             name
-            for name in self.membership.lapsed
+            for name in self.membership.expired
             if name in direct
             and not (name in reports and reports[name].is_reachable(now))
         }
         own = set() if self.membership.leaving else {self.name}
-        return frozenset((self.known().keys() - silent) | own)
+        return frozenset((self.known_peers().keys() - silent) | own)
 
-    def _first(self, names):
+    def _select_reporters(self, names):
         key = "reporter"
-        return sorted(names, key=lambda name: rank(key, name))[:REPORTERS]
+        return sorted(names, key=lambda name: rank(key, name))[
+            :REPORTERS_PER_DATA_CENTRE
+        ]
 
     def is_direct(self, address):
-        """True when a datagram from ``address`` is of a peer told directly."""
+        """Return whether ``address``, a (host, port) pair, is of a direct peer."""
         sender = f"{address[0]}:{address[1]}"
-        return any(peer.peer_address == sender for peer in self.direct().values())
+        return any(peer.peer_address == sender for peer in self.direct_peers().values())
+
+    def reporter_rank(self, now):
+        """Return this VM's rank, from 0, among the reporters of its data centre.
 
-    def reporter_place(self, now):
-        """Return this VM's place, from 0, among those that speak for its data
-        centre; None while it isn't one of them."""
-        if not self.grouped():
+        :returns: None while it isn't one of them.
+        """
+        if not self.is_grouped():
             return None
         reports = self.tracker.reports
-        heard = [
-            n for n in self.direct() if n in reports and reports[n].is_reachable(now)
+        reachable = [
+            n
+            for n in self.direct_peers()
+            if n in reports and reports[n].is_reachable(now)
         ]
-        first = self._first([*heard, self.name])
-        return first.index(self.name) if self.name in first else None
+        reporters = self._select_reporters([*reachable, self.name])
+        return reporters.index(self.name) if self.name in reporters else None
 
-    def far_reporters(self):
-        """Return the peers to which a reporter sends the sum of its data centre."""
+    def remote_reporters(self):
+        """Return the reporters of the other data centres."""
         by_data_centre = {}
         for name, peer in self.membership.peers.items():
             if peer.data_centre != self.data_centre and peer.peer_address:
@@ -100,30 +107,30 @@
         return [
             self.membership.peers[name]
             for names in by_data_centre.values()
-            for name in self._first(names)
+            for name in self._select_reporters(names)
         ]
 
-    def alive(self, now):
+    def live_peers(self, now):
         """Return the live peers by name.
 
-        A VM without power disappears from the store only when its lease ends; its
-        messages stop at once. Of those that don't tell this VM directly only the
-        store knows. With all others silent the cause is more likely this VM's own
-        network, so then only the store's list counts.
+        A VM that fails disappears from the store only when its lease expires, but
+        its messages stop at once. For peers that don't send to this VM, only the
+        store can tell. If no peer's messages arrive, the cause is more likely this
+        VM's own network, so only the store's list is used.
         """
         registered = dict(self.membership.peers)
         registered.pop(self.name, None)
-        heard = {
+        reachable = {
             name
             for name, report in self.tracker.reports.items()
             if report.is_reachable(now) and not report.leaving
         }
-        known = self.membership.lapsed | registered
-        alive = {name: peer for name, peer in known.items() if name in heard}
+        known = self.membership.expired | registered
+        alive = {name: peer for name, peer in known.items() if name in reachable}
         if not alive:
             return registered
-        if not self.grouped():
+        if not self.is_grouped():
             return alive
-        direct = self.direct()
+        direct = self.direct_peers()
         others = {n: p for n, p in registered.items() if n not in direct}
         return alive | others
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell each other, as typed news and as the bytes of a datagram."""
+"""Messages between entry VMs, as Python objects and as the bytes of a datagram."""
 
 import attrs
 
@@ -12,8 +12,11 @@
 
 @attrs.define(frozen=True)
 class LimitUpdate:
-    """The limit that an instance declares: requests a second, None when it has none any
-    more, and the seconds since an answer showed it."""
+    """A rate limit that an instance declares.
+
+    ``rate`` is in requests per second, None when the instance no longer has a limit;
+    ``age`` is the number of seconds since a response stated it.
+    """
 
     instance: str
     rate: float | None
@@ -21,53 +24,54 @@
 
     @classmethod
     def from_row(cls, row):
-        """Read a row of a datagram."""
+        """Build it from its row in a datagram."""
         return cls(row.instance, row.rate or None, row.ageMs / 1000)
 
     @property
     def row(self):
-        """The row of a datagram."""
+        """Its row in a datagram."""
         age_ms = max(0, int(self.age * 1000))
         return {"instance": self.instance, "rate": self.rate or 0.0, "ageMs": age_ms}
 
 
 @attrs.define(frozen=True)
 class PeerUpdate:
-    """One message.
+    """The content of one message.
 
-    ``name`` is the sender's; ``data_centre`` is whose sum it is, empty for the
-    sender's own. ``reads`` maps instance ids to (key, tokens) rows of parts that
-    were read there since the last message, ``pools`` are :class:`PoolUpdate`,
-    ``samples`` are :class:`PrefillSample`, ``crashes`` are
+    ``name`` is the sender's; ``data_centre`` is the data centre whose sum this is,
+    empty for the sender's own report. ``prefills`` maps instance ids to (key, tokens)
+    rows of the prompt parts prefilled there since the last message. ``pools`` are
+    :class:`~mulberrydock.learned.PoolUpdate`, ``samples`` are
+    :class:`~mulberrydock.learned.PrefillSample`, ``crashes`` are
     :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitUpdate`.
     """
 
     name: str
     report: PeerReport
     data_centre: str = ""
-    reads: dict = attrs.field(factory=dict)
+    prefills: dict = attrs.field(factory=dict)
     pools: list = attrs.field(factory=list)
     samples: list = attrs.field(factory=list)
     crashes: list = attrs.field(factory=list)
     limits: list = attrs.field(factory=list)
 
 
-def _pool_row(news):
+def _pool_row(update):
     row = {
-        "service": news.service,
-        "reading": news.demand.prefill_work,
-        "moved": news.demand.transferred_tokens,
-        "streams": news.demand.streams,
-        "apart": news.demand.prefill_engine_work,
-        "inPlace": news.demand.decode_engine_work,
-        "short": news.demand.short_prefill_work,
+        "service": update.service,
+        "reading": update.demand.prefill_work,
+        "moved": update.demand.transferred_tokens,
+        "streams": update.demand.streams,
+        "apart": update.demand.prefill_engine_work,
+        "inPlace": update.demand.decode_engine_work,
+        "short": update.demand.short_prefill_work,
     }
-    if news.cost is not None:
-        row |= attrs.asdict(news.cost)
+    if update.cost is not None:
+        row |= attrs.asdict(update.cost)
     return row
 
 
-def _read_pool(row):
+def _decode_pool(row):
     demand = Demand(
         row.reading, row.moved, row.streams, row.apart, row.inPlace, row.short
     )
@@ -87,7 +91,7 @@
     ]
 
 
-def _read_rows(reads):
+def _prefill_rows(reads):
     return [
         {
             "instance": instance,
@@ -98,33 +102,34 @@
     ]
 
 
-def encode(news):
-    """Return a :class:`PeerUpdate` as the bytes of a datagram."""
-    report = news.report
+def encode(update):
+    """Encode a :class:`PeerUpdate` as the bytes of a datagram."""
+    report = update.report
     message = records.PeerMessage.new_message(
-        name=news.name,
+        name=update.name,
         sequence=report.sequence,
         leaving=report.leaving,
         loads=_load_rows(report.loads),
         held=sorted(report.cordoned),
         intervalMs=int(report.interval * 1000),
-        dataCentre=news.data_centre,
+        dataCentre=update.data_centre,
         suspects=sorted(report.suspects),
-        reads=_read_rows(news.reads),
-        pools=[_pool_row(pool) for pool in news.pools],
-        samples=[attrs.asdict(sample) for sample in news.samples],
-        crashes=[attrs.asdict(crash) for crash in news.crashes],
-        limits=[limit.row for limit in news.limits],
+        reads=_prefill_rows(update.prefills),
+        pools=[_pool_row(pool) for pool in update.pools],
+        samples=[attrs.asdict(sample) for sample in update.samples],
+        crashes=[attrs.asdict(crash) for crash in update.crashes],
+        limits=[limit.row for limit in update.limits],
     )
-    # Packed, as traffic between data centres is paid for: 210 instead of
-    # 420 bytes with sends to six instances.
+    # Packed, as traffic between data centres is paid for: 210 instead of 420 bytes
+    # with loads of six instances.
     return message.to_bytes_packed()
 
 
 def decode(data, now):
-    """Return the :class:`PeerUpdate` in a datagram that arrived at ``now``.
+    """Decode the :class:`PeerUpdate` in a datagram that arrived at ``now``.
 
-    :raises Exception: capnp's own unlisted types, when it is no peer's message.
+    :raises Exception: one of capnp's undocumented types, when ``data`` is no valid
+        message.
     """
     message = records.PeerMessage.from_bytes_packed(data)
     report = PeerReport(
@@ -144,7 +149,7 @@
         report,
         message.dataCentre,
         {row.instance: list(zip(row.keys, row.tokens)) for row in message.reads},
-        [_read_pool(row) for row in message.pools],
+        [_decode_pool(row) for row in message.pools],
         [
             PrefillSample(row.service, row.tokens, row.cached, row.seconds)
             for row in message.samples
--- a/src/mulberrydock/records.py
+++ b/src/mulberrydock/records.py
@@ -1,7 +1,7 @@
-"""Records that mulberrydock's processes keep in the platform store.
+"""Records that mulberrydock's processes write to the platform store.
 
-Each is a Cap'n Proto struct from ``schema/messages.capnp``, packed and
-base64-encoded because the store holds text.
+Each is a Cap'n Proto struct of ``schema/messages.capnp``, packed and base64-encoded,
+as the store's values are text.
 """
 
 import base64
@@ -27,5 +27,8 @@
 
 
 def decode(struct, text):
-    """Read a ``struct`` (such as :data:`EntryRecord`) from :func:`encode`'s text."""
+    """Decode text from :func:`encode` as a ``struct``, such as :data:`EntryRecord`.
+
+    :raises Exception: when ``text`` is no valid record.
+    """
     return struct.from_bytes_packed(base64.b64decode(text))
--- a/src/mulberrydock/rollout.py
+++ b/src/mulberrydock/rollout.py
@@ -1,21 +1,22 @@
-"""Changing engines one after the other without cutting what they run.
+"""Rolling changes of engines without interrupting their requests.
 
-An engine to be changed is first held: the plan record in the store names it
-and entries stop sending it work. It is ordered only when a load report made
-after the hold took effect shows it empty, and released when it serves again.
+An engine to be changed is first cordoned: the plan record in the store names it
+and entries send it no new work. It is ordered to change only when a load report
+made after the cordon took effect shows that it is idle, and released when it is
+available with its target.
 """
 
 import attrs
 
-#: Seconds after the hold is written within which entries act on it.
-HOLD_SETTLE_SECONDS = 1.0
-#: Share of the engines that may be held at a time (one always may).
-HELD_SHARE = 0.25
+#: Seconds after a cordon is written within which entries act on it.
+CORDON_SETTLE_SECONDS = 1.0
+#: Maximum share of the engines that may be cordoned at a time (one always may).
+MAX_CORDONED_SHARE = 0.25
 
 
 @attrs.define(frozen=True)
 class Target:
-    """What an engine should run."""
+    """The model, version, adapter and role that an engine runs or should run."""
 
     model: str
     version: str
@@ -25,11 +26,11 @@
 
 @attrs.define(frozen=True)
 class EngineView:
-    """An engine as the controller read it in one pass.
+    """An engine's state as the controller read it in one pass.
 
-    ``instance`` names this start of it and ``sequence`` is how many orders it
-    has accepted since; ``running`` and
-    ``waiting`` are of its load report, made at ``reported_at``.
+    ``instance`` identifies its incarnation and ``sequence`` is the number of orders
+    that it has accepted in it. ``running`` and ``waiting`` are the numbers of requests
+    in its load report, made at ``reported_at`` (monotonic seconds).
     """
 
     name: str
@@ -47,14 +48,14 @@
     output_tokens: int = 0
 
     @property
-    def runs(self):
-        """The :class:`Target` it runs now."""
+    def current_target(self):
+        """What it runs now, as a :class:`Target`."""
         return Target(self.model, self.version, self.adapter, self.role)
 
 
 @attrs.define
 class Actions:
-    """What one pass decided: engines to hold or release, and orders to send."""
+    """The decisions of one pass: names of engines to cordon, release and order."""
 
     hold: list = attrs.field(factory=list)
     release: list = attrs.field(factory=list)
@@ -62,50 +63,52 @@
 
 
 class Rollout:
-    """Decides, from the engines' views, what may be changed at ``now``.
+    """Decides which engines may be changed.
 
-    :attr:`held` maps an engine to when its hold was in the store.
+    :attr:`cordoned` maps an engine's name to the time when its cordon was written to
+    the store.
     """
 
     def __init__(self):
-        self.held = {}
+        self.cordoned = {}
 
     def decide(self, views, targets, now):
         """Return the :class:`Actions` of this pass.
 
-        :param views: reachable engines' :class:`EngineView` by name.
-        :param targets: wanted :class:`Target` by engine name.
+        :param views: the reachable engines' :class:`EngineView` by name.
+        :param targets: the desired :class:`Target` by engine name.
+        :param now: monotonic seconds.
         """
         actions = Actions()
-        for name in self.held:
+        for name in self.cordoned:
             if self._finished(views.get(name), targets.get(name)):
                 actions.release.append(name)
-        held = len(self.held) - len(actions.release)
-        limit = max(1, int(len(targets) * HELD_SHARE))
+        cordoned = len(self.cordoned) - len(actions.release)
+        limit = max(1, int(len(targets) * MAX_CORDONED_SHARE))
         for name, target in sorted(targets.items()):
             view = views.get(name)
-            if view is None or view.runs == target:
+            if view is None or view.current_target == target:
                 continue
             if not view.model or self._empty(view, now):
-                # Nothing runs on an engine without a model.
+                # An engine without a model runs no requests: it needs no cordon.
                 actions.order.append(name)
-            elif name not in self.held and held < limit:
+            elif name not in self.cordoned and cordoned < limit:
                 actions.hold.append(name)
-                held += 1
+                cordoned += 1
         return actions
 
     def _finished(self, view, target):
-        # An engine that can't be read is released as well: entries find out
-        # by themselves that it fails, and it must not keep others waiting.
+        # An unreachable engine is released as well: entries detect its failure by
+        # themselves, and it must not block the change of others.
         if view is None or target is None:
             return True
-        return view.runs == target and view.available
+        return view.current_target == target and view.available
 
     def _empty(self, view, now):
-        held_at = self.held.get(view.name)
+        held_at = self.cordoned.get(view.name)
         if held_at is None:
             return False
-        # A report made before the entries acted on the hold may miss a
-        # request sent since; only a later one shows that nothing runs.
-        in_force = held_at + HOLD_SETTLE_SECONDS
+        # A report made before the entries acted on the cordon may lack a request
+        # sent since; only a later one proves that the engine is idle.
+        in_force = held_at + CORDON_SETTLE_SECONDS
         return view.reported_at >= in_force and view.running + view.waiting == 0
--- a/src/mulberrydock/route_table.py
+++ b/src/mulberrydock/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request by host and longest path prefix."""
+"""Routing table: finds a request's route by host and longest path prefix."""
 
 import random
 
@@ -8,8 +8,10 @@
 class RouteTable:
     """The newest routing configuration, indexed by host.
 
-    Versions only go up: an older or equal one is ignored, so a late or
-    reordered answer of the store never takes a route back.
+    Versions only increase: an older or equal one is ignored, so that a late or
+    reordered response of the store never reverts a route.
+
+    :param seed: seeds the choice between a route's services.
     """
 
     def __init__(self, seed=None):
@@ -19,11 +21,11 @@
 
     @property
     def version(self):
-        """Version in force, 0 before any is known."""
+        """The version in force, 0 before the first."""
         return self.config.version if self.config else 0
 
     def accept(self, config):
-        """Take ``config`` if it is newer; True when taken."""
+        """Apply ``config`` if it is newer; return whether it was applied."""
         if config.version <= self.version:
             return False
         by_host = {}
@@ -44,7 +46,7 @@
         return None
 
     def service_for(self, route):
-        """Return the service's name for one request, drawn by weight."""
+        """Return the service's name for one request, chosen at random by weight."""
         if len(route.splits) == 1:
             return route.splits[0].service
         weights = [split.weight for split in route.splits]
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -1,7 +1,7 @@
-"""The daemon of one entry VM on the users' platform.
+"""The daemon of one entry VM on the hosting platform.
 
-One process answers clients, tells them which VMs to use, and follows the
-configuration, the instances and its peers through the platform's store.
+One process serves client requests, tells clients which VMs to use, and follows
+the configuration, the instances and its peers through the platform's store.
 """
 
 import asyncio
@@ -33,45 +33,45 @@
 from .rendezvous import rank
 from .serve_settings import load_serve_settings
 from .stage_controller import StageController
-from .watch import PROBE_SECONDS, PrefixWatch
+from .watch import RECOVERY_POLL_SECONDS, PrefixWatch
 
-#: Seconds within which a watch that went silent must be noticed before the
-#: users' contact time is over: from then on this VM answers for what it knows.
-#: The next read takes some 10 ms; the rest covers a busy VM.
+#: Seconds before the end of the contact time by which a watch whose connection failed
+#: must be noticed: after the contact time this VM must have the current state. The read
+#: that follows takes about 10 ms; the rest covers a busy VM.
 WATCH_MARGIN_SECONDS = 0.3
-#: Share of the time in which a configuration must be in force that passes between
-#: an answer with changes and the next poll. When VMs start or leave in turn, each of
-#: them wakes all others: what changes within the pause comes in one answer, and each
-#: answer is a call that is paid for. The other three quarters cover a lost call and
-#: a busy VM.
+#: Pause between a response with changes and the next poll, as a share of the time
+#: within which a configuration must be in force. When VMs start or leave one after the
+#: other, each change completes the polls of all others; changes within the pause come
+#: in one response, and each response is a call that is paid for. The other three
+#: quarters cover a lost call and a busy VM.
 WATCH_PAUSE_SHARE = 0.25
-#: Seconds of this VM's registration in the store. Its peers notice its death by its
-#: silence, much sooner; the record only matters to VMs that hear nobody.
-MEMBER_LEASE_SECONDS = 9.0
-#: Candidates for a vacant duty that take turns; if all of them fail, being cut off
-#: from the store perhaps, the others try at once. An attempt takes four calls, so a
-#: fleet of 195 VMs that all try makes 780.
-DUTY_TURNS = 4
-#: Seconds beyond the pause of the watch until a VM's taking of the duty is known
-#: to the next in turn: four calls to the store and a busy VM.
-DUTY_TURN_MARGIN_SECONDS = 0.3
-#: Share of the grace period in which a stopping VM still takes requests (3.2 s
-#: of the users' 8): a request taken later could be cut when the grace ends.
+#: Lease of this VM's record in the store. Its peers detect a failure much sooner, as
+#: its messages stop; the record only matters to VMs that receive no messages.
+ENTRY_LEASE_SECONDS = 9.0
+#: Number of VMs that try in turn to acquire a vacant leader lease. If all of them
+#: fail, perhaps as they can't reach the store, the others try at the same time. An
+#: attempt takes four calls, so a fleet of 195 VMs that all try makes 780.
+MAX_TAKEOVER_RANK = 4
+#: Seconds beyond the watch's pause until the next VM in turn has seen that the lease
+#: was acquired: covers four calls to the store and a busy VM.
+TAKEOVER_MARGIN_SECONDS = 0.3
+#: Share of the grace period in which a stopping VM still accepts requests (3.2 s of
+#: 8 s): a request accepted later could be cut when the grace period ends.
 ACCEPT_SHARE = 0.4
-#: Seconds for which late requests are refused at least before the end.
-REFUSE_SECONDS = 0.5
-#: Share of the grace period that requests in progress may use in all.
+#: Minimum number of seconds for which later requests are refused before the end.
+MIN_REFUSE_SECONDS = 0.5
+#: Share of the grace period, from its start, within which requests must end.
 FINISH_SHARE = 0.94
-#: Seconds after which an idle client connection is closed; far above the
-#: configured limit, so that no client's request crosses the close.
-CLIENT_IDLE_SECONDS = 120
-#: Seconds between two looks at the settings file and at lapsed records.
-SWEEP_SECONDS = 0.25
+#: Seconds after which an idle client connection is closed; far above the configured
+#: limit, so that no client sends a request on a connection that is being closed.
+CLIENT_IDLE_TIMEOUT_SECONDS = 120
+#: Seconds between two sweeps of the instances whose records have expired.
+SWEEP_INTERVAL_SECONDS = 0.25
 
 
 @attrs.define(frozen=True)
 class EntryVm:
-    """This VM as it registers itself; ``address`` is its front's."""
+    """This VM's registration; ``address`` is where it serves clients."""
 
     name: str
     address: str
@@ -79,7 +79,7 @@
 
 
 class ServeDaemon:
-    """State of one entry VM's process. Build it with :meth:`from_settings`."""
+    """The process of one entry VM. Create it with :meth:`from_settings`."""
 
     def __init__(self, settings, store, wire, log_sink):
         self.settings = settings
@@ -89,14 +89,14 @@
         self.log_sink = log_sink
         self.metrics = ServeMetrics()
         self.draining = False
-        self.store_answers = None
+        self.store_available = None
         self.stop = asyncio.Event()
-        self.leader_known = False
+        self.leader_exists = False
         peer_port = settings.listen.peer_ports[0]
         self.membership = Membership(
             store,
             EntryVm(settings.name, settings.listen.front, settings.data_centre),
-            max(MEMBER_LEASE_SECONDS, settings.store.least_lease_seconds),
+            max(ENTRY_LEASE_SECONDS, settings.store.least_lease_seconds),
             f"{settings.ip}:{peer_port}",
         )
         self.fleet = FleetView(
@@ -107,7 +107,8 @@
             RateLimits(
                 settings.name,
                 lambda now: self.groups.senders(now),
-                lambda instance_id: self.fleet.instances.named(instance_id) is not None,
+                lambda instance_id: self.fleet.instances.get_incarnation(instance_id)
+                is not None,
             ),
         )
         self.instance_feed = InstanceFeed(self.fleet.instances)
@@ -121,11 +122,13 @@
             store,
             settings.name,
             settings.timing.lease_seconds,
-            lambda: self.store_answers and not self.leader_known and not self.draining,
+            lambda: self.store_available
+            and not self.leader_exists
+            and not self.draining,
             boot_seconds,
-            self._duty_turn,
+            self._takeover_delay,
         )
-        self.duty = StageController(
+        self.stage_controller = StageController(
             self.fleet,
             self.relay,
             wire,
@@ -151,7 +154,7 @@
             settings.name,
             self.fleet.loads,
             self.groups,
-            self._leaving,
+            self._is_draining,
             self.fleet.estimates,
             self.fleet.suspicion.suspects,
             self.fleet.quarantine,
@@ -166,15 +169,17 @@
 
     @property
     def ready(self):
-        """True when clients may be sent here."""
+        """Whether clients may be sent to this VM."""
         return not self.draining and self.fleet.routes.config is not None
 
-    def _duty_turn(self):
-        """Return the seconds for which a vacant duty is left to other VMs."""
-        turn = min(self.directory.turn(time.monotonic()), DUTY_TURNS)
-        return turn * (self.watch_pause() + DUTY_TURN_MARGIN_SECONDS)
+    def _takeover_delay(self):
+        """Return the seconds for which a vacant leader lease is left to other VMs."""
+        takeover_rank = min(
+            self.directory.takeover_rank(time.monotonic()), MAX_TAKEOVER_RANK
+        )
+        return takeover_rank * (self.watch_pause() + TAKEOVER_MARGIN_SECONDS)
 
-    def _leaving(self):
+    def _is_draining(self):
         return self.draining
 
     def _on_gone(self, instance_id):
@@ -204,34 +209,35 @@
         self.instance_feed.apply(key, value, revision, time.monotonic())
 
     def _on_store_answer(self, answered):
-        # Every call counts, not only those of the watch: an outage may be over
-        # before a poll that waits through it is due, and the records that lapsed
-        # in it would pass for instances that left.
+        # Called for every call, not only those of the watch: an outage may end before
+        # a poll that spans it times out, and instances whose records expired in it
+        # would be taken for ones that left.
         now = time.monotonic()
         if answered:
             self.fleet.instances.mark_store_available(now)
         else:
             self.fleet.instances.mark_store_unavailable(now)
-        if answered != self.store_answers:
+        if answered != self.store_available:
             event = "store answers" if answered else "store lost"
             logger.warning(event, address=self.settings.store.address)
-        self.store_answers = answered
+        self.store_available = answered
 
     def _on_store_era(self):
-        """The store came back from a copy some seconds old.
+        """Recover from the store's restoration from a copy some seconds old.
 
-        Leases are gone, and their ids and the revisions are given out again. What the
-        operator and the instances wrote they write again; the rest is ours to repair.
+        Leases are lost, and their ids and the revisions are assigned again. The
+        operator and the instances write their own values again; this VM must repair
+        the rest.
         """
         logger.warning("store restored from an older copy", era=self.store.era)
         self.fleet.instances.handle_store_restored(time.monotonic())
         self.fleet.quarantine.handle_store_restored()
-        self.membership.forget_lease()
-        self.lease.forget()
+        self.membership.discard_lease()
+        self.lease.discard()
         self.watch.invalidate()
 
     def _on_leader(self, key, value, revision):
-        self.leader_known = value is not None
+        self.leader_exists = value is not None
 
     def _on_item(self, key, value, revision):
         for prefix, handler in self.handlers.items():
@@ -240,7 +246,7 @@
 
     def _on_reset(self):
         self.fleet.instances.begin_reload()
-        self.leader_known = False
+        self.leader_exists = False
         self.membership.begin_reload()
         self.fleet.quarantine.begin_reload()
 
@@ -256,29 +262,29 @@
         return self.settings.timing.config_apply_seconds * WATCH_PAUSE_SHARE
 
     def _watch(self):
-        # One watch for all keys: a watch counts as a call each time it is
-        # answered, and this process needs every prefix. It waits for as long
-        # as a lost one may stay unnoticed.
-        silent = self.settings.timing.contact_seconds - WATCH_MARGIN_SECONDS
+        # One watch for all keys: each response to a poll counts as a call, and this
+        # process needs every prefix. A poll waits as long as a failed connection may
+        # stay unnoticed.
+        detection_seconds = self.settings.timing.contact_seconds - WATCH_MARGIN_SECONDS
         return PrefixWatch(
             self.store,
             "",
             self._on_item,
             self._on_reset,
             self._on_loaded,
-            max(PROBE_SECONDS, silent - self.store.timeout),
+            max(RECOVERY_POLL_SECONDS, detection_seconds - self.store.timeout),
             self.watch_pause(),
         )
 
     async def _sweep(self):
         while True:
             self.fleet.instances.sweep(time.monotonic())
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
 
     def _listen(self):
         listen = self.settings.listen
         self.front_server = tornado.httpserver.HTTPServer(
-            self.front, idle_connection_timeout=CLIENT_IDLE_SECONDS
+            self.front, idle_connection_timeout=CLIENT_IDLE_TIMEOUT_SECONDS
         )
         host, port = split_address(listen.front)
         self.front_server.listen(port, address=host)
@@ -291,7 +297,10 @@
             server.listen(listen.metrics_port, address=self.settings.ip)
 
     async def run(self):
-        """Serve until SIGTERM or SIGINT, then drain and return."""
+        """Serve until SIGTERM or SIGINT, then drain and return.
+
+        :raises OSError: when an address can't be bound.
+        """
         loop = asyncio.get_running_loop()
         for signum in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signum, self.stop.set)
@@ -301,7 +310,7 @@
         tasks = [
             asyncio.ensure_future(self.watch.run()),
             asyncio.ensure_future(self.lease.run()),
-            asyncio.ensure_future(self.duty.run()),
+            asyncio.ensure_future(self.stage_controller.run()),
             asyncio.ensure_future(self.membership.keep_alive()),
             asyncio.ensure_future(self.peers.run()),
             asyncio.ensure_future(self.quarantine.run()),
@@ -319,13 +328,13 @@
     def _on_task_end(self, task):
         if task.cancelled():
             return
-        # A follower that ended leaves this VM with a view that only ages:
-        # ending the process lets the platform start it afresh.
+        # Without one of its tasks this VM's state would become outdated: end the
+        # process, so that the platform restarts it.
         logger.error("task ended", error=repr(task.exception()))
         self.stop.set()
 
     def _on_hangup(self):
-        """Read the settings again and log what changed; addresses need a restart."""
+        """Reload the ``[timing]`` settings; changes of addresses need a restart."""
         try:
             settings = load_serve_settings(os.environ[platform.SETTINGS_VARIABLE])
         except (SettingsError, OSError, KeyError) as error:
@@ -340,10 +349,10 @@
         await self.lease.release()
 
     async def drain(self):
-        """Leave: clients move away, requests in progress end, then return.
+        """Stop serving: let clients move away and requests in progress end.
 
-        Clients keep an old list of addresses for a while, so requests are
-        taken at first, on new connections too; later ones are refused.
+        Clients keep an outdated list of addresses for a while, so requests are
+        accepted at first, on new connections too, and refused later.
         """
         grace = self.settings.timing.grace_seconds
         started = time.monotonic()
@@ -356,13 +365,13 @@
         self.front.refusing = True
         self.front_server.stop()
         logger.info("refusing new requests", in_flight=len(self.front.tasks))
-        # One more look after the last request: kept connections may bring
-        # some, which must get their refusal before the process ends.
-        await asyncio.sleep(REFUSE_SECONDS)
+        # Wait even if no request is in progress: more may arrive on open connections
+        # and must be refused before the process ends.
+        await asyncio.sleep(MIN_REFUSE_SECONDS)
         left = started + grace * FINISH_SHARE - time.monotonic()
         if self.front.tasks and left > 0:
             await asyncio.wait(set(self.front.tasks), timeout=left)
         leaving.cancel()
-        # What the last requests showed must outlast this process.
+        # Write the crashes that the last requests revealed before the process ends.
         await self.quarantine.step(time.monotonic(), time.time())
         logger.info("drained", in_flight=len(self.front.tasks))
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -1,8 +1,8 @@
-"""The task that gives stage orders to engines, on one entry VM at a time.
+"""Sends stage orders to engines, from one entry VM at a time.
 
-The holder of the leader lease gives them, with the lease's fencing token. A
-new holder first waits as long as a lease lasts: an order that its predecessor
-sent while it still held the lease has arrived by then.
+The holder of the leader lease sends them, with the lease's fencing token. A new
+leader first waits for the duration of a lease: orders that its predecessor sent
+while it held the lease have arrived by then.
 """
 
 import asyncio
@@ -16,17 +16,17 @@
 from .exceptions import UpstreamError
 from .stages import StagePlanner
 
-#: Seconds between two looks at the pools.
-LOOK_SECONDS = 0.25
-#: Seconds for an engine's answer to an order; it answers before it acts.
-ORDER_SECONDS = 1.0
-#: Seconds for which an engine under change gets no new work beyond the answer
-#: to its order; the users' engines are dark for 3 s.
-CHANGE_SECONDS = 3.5
+#: Seconds between two passes over the pools.
+POLL_INTERVAL_SECONDS = 0.25
+#: Timeout of a call to an engine; an engine answers an order before it carries it out.
+ORDER_TIMEOUT_SECONDS = 1.0
+#: Seconds for which an engine is cordoned after a stage order; it is unavailable for
+#: about 3 s after a stage change.
+STAGE_CHANGE_SECONDS = 3.5
 
 
-def _started_again(record, report):
-    """True when an engine reports another start than its record does."""
+def _has_restarted(record, report):
+    """Return whether an engine reports a later start than its record does."""
     if record.started_at_ms is None or report.started_at_ms is None:
         return False
     return report.started_at_ms > record.started_at_ms
@@ -34,10 +34,14 @@
 
 @attrs.define
 class StageController:
-    """Plans and orders stage changes while this VM holds the lease.
+    """Plans stage changes, and orders them while this VM is the leader.
 
+    :param fleet: the :class:`~mulberrydock.fleet_view.FleetView`.
+    :param relay: the :class:`~mulberrydock.relay.Relay` that makes the calls.
+    :param wire: encodes the calls and decodes the reports.
     :param lease: a :class:`~mulberrydock.lease.LeaderLease`.
-    :param quiet_seconds: how long a new holder waits before its first order.
+    :param name: this VM's name, sent with each order.
+    :param takeover_wait_seconds: how long a new leader waits before its first order.
     """
 
     fleet: object
@@ -45,43 +49,44 @@
     wire: object
     lease: object
     name: str
-    quiet_seconds: float
+    takeover_wait_seconds: float
     planners: dict = attrs.field(factory=dict)
 
     def may_order(self, now):
-        """True while the lease holds and its predecessor's orders are over.
+        """Return whether this VM may send orders, as leader after the initial wait.
 
         :param now: seconds since boot, see :func:`~mulberrydock.clock.boot_seconds`.
         """
         authority = self.lease.authority
-        waited = now - authority.acquired_at >= self.quiet_seconds
+        waited = now - authority.acquired_at >= self.takeover_wait_seconds
         return self.lease.valid(now) and waited
 
     async def run(self):
-        """Look at the pools for ever."""
+        """Make a pass over the pools at each interval, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            await self.look(time.monotonic())
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+            await self.run_pass(time.monotonic())
 
-    async def look(self, now):
-        """Order the changes that each pool needs, if this VM is the holder.
+    async def run_pass(self, now):
+        """Order the changes that each pool needs if this VM is the leader.
 
-        Every VM follows for how long a pool has been out of balance, so that a
-        new holder need not wait anew.
+        The other VMs plan as well: they track for how long a pool has been out of
+        balance, so that a new leader needn't start with a fresh count.
         """
         config = self.fleet.routes.config
-        if config is None or self.fleet.instances.unsettled(now):
-            # Records that lapsed with the store may be back in a moment.
+        if config is None or self.fleet.instances.records_incomplete(now):
+            # Records that expired in a store outage may be written again any moment.
             return
         for service in config.services.values():
             if service.is_engine_pool:
-                await self._look_at(service, now)
+                await self._order_changes(service, now)
 
-    async def _look_at(self, service, now):
-        """Order the changes that one pool may bear at once.
+    async def _order_changes(self, service, now):
+        """Order the changes that one pool may have at once.
 
-        Given together, the engines of a large pool are dark together and write
-        their records together: each change of a record wakes every VM's watch.
+        The orders go out together, so that the engines of a large pool are
+        unavailable at the same time and write their records at the same time: each
+        change of a record completes the poll of every VM's watch.
         """
         planner = self.planners.setdefault(service.name, StagePlanner())
         engines = self.fleet.instances.serving(service.name)
@@ -96,14 +101,15 @@
             if settle:
                 planner.record_order(change, settle, time.monotonic())
             if settle != stages.ORDER_SETTLE_SECONDS:
-                # It wasn't accepted: what is known may be old, look again.
+                # The order wasn't accepted: the state may be outdated, so plan again
+                # in the next pass.
                 return
 
     async def order(self, change, needs, now):
-        """Send one order; return for how many seconds it may be at work."""
+        """Send one order; return for how many seconds it may be in progress."""
         instance = change.instance
         call = self.wire.report_call(instance.record)
-        report = await self.relay.call(instance, call, ORDER_SECONDS)
+        report = await self.relay.call(instance, call, ORDER_TIMEOUT_SECONDS)
         if report is None or report.status != 200:
             return stages.REFUSED_SETTLE_SECONDS
         try:
@@ -111,21 +117,21 @@
         except UpstreamError as error:
             logger.warning("report refused", instance=instance.id, error=str(error))
             return stages.REFUSED_SETTLE_SECONDS
-        if _started_again(instance.record, report):
-            # The decision rests on what the former incarnation was.
-            self.fleet.instances.restarted(instance, report.started_at_ms)
+        if _has_restarted(instance.record, report):
+            # The decision was based on the state of the former incarnation.
+            self.fleet.instances.mark_restarted(instance, report.started_at_ms)
             return stages.REFUSED_SETTLE_SECONDS
         if report.busy:
             return stages.ORDER_SETTLE_SECONDS
-        # The lease is checked at the moment of sending.
+        # Check the lease again right before sending.
         if not self.may_order(boot_seconds()):
             return 0.0
         token = self.lease.authority.token
-        self.fleet.loads.cordon(instance.id, now + CHANGE_SECONDS)
+        self.fleet.loads.cordon(instance.id, now + STAGE_CHANGE_SECONDS)
         call = self.wire.stage_order_call(
             instance.record, change.stage.value, report.orders, self.name, token
         )
-        answer = await self.relay.call(instance, call, ORDER_SECONDS)
+        answer = await self.relay.call(instance, call, ORDER_TIMEOUT_SECONDS)
         status = answer.status if answer else None
         logger.info(
             "order",
@@ -137,19 +143,18 @@
             orders=report.orders,
             status=status,
         )
-        return await self._settle(instance, token, status, now)
+        return await self._settle_seconds(instance, token, status, now)
 
-    async def _settle(self, instance, token, status, now):
+    async def _settle_seconds(self, instance, token, status, now):
         if status is None:
             return stages.UNANSWERED_SETTLE_SECONDS
         if status in (200, 202, 409):
-            # With 409 an earlier order, ours without an answer perhaps, is
-            # being carried out or has been.
+            # 409: another order has been accepted before, perhaps this VM's own
+            # whose response was lost.
             return stages.ORDER_SETTLE_SECONDS
         self.fleet.loads.cordon(instance.id, now)
         if status == 412:
-            # Another holder has a newer token: this one must never be used
-            # again.
+            # Another leader has a newer token: this one must not be used again.
             logger.warning("order refused as stale", token=token)
             await self.lease.release()
         return stages.REFUSED_SETTLE_SECONDS
--- a/src/mulberrydock/store.py
+++ b/src/mulberrydock/store.py
@@ -1,8 +1,8 @@
 """Client of the platform store's protocol (see ``standin.store``).
 
 Every call returns an :class:`expression.Result`: ``Ok`` with the answer, or
-``Error`` with a :class:`~mulberrydock.exceptions.StoreError`. Nothing here
-retries by itself: whether a call may be repeated is the caller's decision.
+``Error`` with a :class:`~mulberrydock.exceptions.StoreError`. The client never
+retries: whether a call may be repeated is the caller's decision.
 """
 
 import typing as t
@@ -19,7 +19,7 @@
 
 @attrs.define(frozen=True)
 class Item:
-    """A key as read: its text value, version (revision of its last change)."""
+    """A key as read; ``version`` is the revision of its last change."""
 
     key: str
     value: str
@@ -30,7 +30,7 @@
 
 @attrs.define(frozen=True)
 class Event:
-    """A change under a watched prefix; ``value`` is None for a delete."""
+    """A change under a watched prefix; ``value`` is None for a deletion."""
 
     revision: int
     key: str
@@ -39,8 +39,11 @@
 
 @attrs.define(frozen=True)
 class WatchBatch:
-    """What one long poll brought: events and the store revision; ``compacted``
-    means events were lost and the caller must re-read."""
+    """The result of one long poll: events and the store's revision.
+
+    ``compacted`` means that the store has dropped events that the poll asked for, so
+    the caller must read the keys again.
+    """
 
     revision: int
     events: list
@@ -54,7 +57,7 @@
     :param timeout: seconds of one call.
     """
 
-    #: This store never comes back from an older copy.
+    #: Constant, as this store is never restored from an older copy.
     era = 0
 
     def __init__(self, address, timeout=defaults.STORE_CALL_TIMEOUT_SECONDS):
@@ -68,15 +71,17 @@
                 self.http, method, self.address, path, body, timeout or self.timeout
             )
         except (tornado.httpclient.HTTPClientError, OSError, ValueError) as error:
-            # A cut connection may follow a write that took effect: callers
-            # of writes re-read before they retry.
+            # A write may have taken effect before its connection was cut: callers
+            # of writes must read again before they retry.
             return Error(StoreError(f"store call {path} failed: {error}"))
         if status == 503:
-            return Error(StoreError(f"store call {path}: outage"))
+            return Error(
+                StoreError(f"store call {path} failed: the store answered 503")
+            )
         return Ok((status, document))
 
     async def get(self, key):
-        """Read ``key``; ``Ok(None)`` when it is absent."""
+        """Read ``key``: ``Ok(Item)``, or ``Ok(None)`` when it is absent."""
         result = await self._call("GET", f"/v1/kv/{quote(key)}")
         if result.is_error():
             return result
@@ -97,24 +102,24 @@
         """Write ``value``; ``expect_version`` 0 means the key must be absent.
 
         :returns: ``Ok(version)``, ``Error(VersionConflict)`` on a mismatch, or
-            ``Error(StoreError)`` when the answer was lost or the store is down
+            ``Error(StoreError)`` when the response was lost or the store is unavailable
             (the write may then have taken effect).
         """
         body = {"key": key, "value": value, "expect_version": expect_version}
         if lease:
             body["lease"] = lease
-        return await self._swap("/v1/put", body, "version")
+        return await self._compare_and_swap("/v1/put", body, "version")
 
     async def delete(self, key, expect_version=None):
         """Delete ``key``, optionally only at ``expect_version``."""
         body = {"key": key, "expect_version": expect_version}
-        return await self._swap("/v1/delete", body, "revision")
+        return await self._compare_and_swap("/v1/delete", body, "revision")
 
     async def write_all(self, values, removals):
         """Write ``values`` by key and delete ``removals``, one after the other.
 
-        :returns: ``Ok(revision)``, or the first ``Error(StoreError)``; what came before
-            it has then been written.
+        :returns: ``Ok(revision)``, or the first ``Error(StoreError)``; the changes
+            before it have then been made.
         """
         revision = 0
         for key, value in values.items():
@@ -129,8 +134,8 @@
             revision = deleted.ok
         return Ok(revision)
 
-    async def _swap(self, path, body, field):
-        """Send a compare-and-swap; ``Ok`` with ``field`` of its answer."""
+    async def _compare_and_swap(self, path, body, field):
+        """Send a compare-and-swap; return ``Ok`` with ``field`` of the response."""
         result = await self._call("POST", path, body)
         if result.is_error():
             return result
@@ -170,7 +175,7 @@
         return Ok(result.ok[0] == 200)
 
     async def revoke(self, lease):
-        """End ``lease`` and delete its keys."""
+        """Revoke ``lease``; the store deletes its keys."""
         result = await self._call("POST", "/v1/lease/revoke", {"lease": lease})
         return result.map(lambda _: True)
 
--- a/src/mulberrydock/vm_list.py
+++ b/src/mulberrydock/vm_list.py
@@ -1,7 +1,7 @@
-"""A task that follows the platform's list of live and leaving VMs.
+"""Polls the platform's list of live and leaving VMs.
 
-The list lags, so it only ever adds to what the configuration and the entry
-records say: a VM that it still shows as live may be leaving already.
+The list lags: a VM that it shows as live may be leaving already. So it only adds
+leaving VMs to those known from the configuration and the entry records.
 """
 
 import asyncio
@@ -15,8 +15,9 @@
 
 
 class VmList:
-    """Reads the list at ``address`` and reports the leaving VMs' names.
+    """Polls the list at ``address`` for the names of leaving VMs.
 
+    :param address: ``host:port`` of the list.
     :param on_change: called with the set of names when it has changed.
     """
 
@@ -27,7 +28,7 @@
         self.http = tornado.httpclient.AsyncHTTPClient()
 
     async def read(self):
-        """Read the list once; while it does not answer, the last one stands."""
+        """Read the list once; if that fails, the names read before stay."""
         try:
             status, document = await fetch_json(
                 self.http, "GET", self.address, "/v1/vms"
@@ -42,7 +43,7 @@
             self.on_change(leaving)
 
     async def run(self):
-        """Follow the list forever."""
+        """Poll the list until cancelled."""
         while True:
             await self.read()
             await asyncio.sleep(POLL_SECONDS)
--- a/src/mulberrydock/watch.py
+++ b/src/mulberrydock/watch.py
@@ -1,18 +1,18 @@
-"""A task that keeps a view of one key prefix of the platform store.
+"""Follows the keys under one prefix of the platform store.
 
-It reads the prefix once, then long-polls for changes. During an outage the
-view stays as it was; when the store has dropped the history that the watch
-needs, the prefix is read again.
+A watch reads the prefix once, then long-polls for changes. During an outage
+nothing changes for its user; when the store has compacted the revisions that the
+watch needs, the prefix is read again.
 """
 
 import asyncio
 
 from . import defaults
 
-#: Seconds for which a poll waits at a store that didn't answer the last call: a
-#: poll that is lost as well must be over soon, as changes may follow the
-#: store's return at once.
-PROBE_SECONDS = 0.3
+#: Seconds for which a poll waits at a store that didn't answer the last poll. If this
+#: one is lost as well, it must end soon, as changes may be written as soon as the
+#: store is available again.
+RECOVERY_POLL_SECONDS = 0.3
 
 
 class PrefixWatch:
@@ -20,13 +20,14 @@
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param prefix: key prefix, or one whole key.
-    :param on_reset: called with no argument before a full read is applied.
     :param on_item: called with ``(key, value, version)``; ``value`` is None
         when the key was deleted.
-    :param on_loaded: called after a full read was applied.
-    :param wait: seconds a long poll waits at the store.
-    :param pause: seconds after changes before the next poll, so that changes
-        in quick succession come in one answer; each answer is a call, and paid.
+    :param on_reset: called without arguments before a full read is applied.
+    :param on_loaded: called without arguments after a full read was applied.
+    :param poll_seconds: seconds for which a long poll waits at the store.
+    :param pause_seconds: seconds between a response with changes and the next poll,
+        so that changes in quick succession come in one response; each response is a
+        call that is paid for.
     """
 
     def __init__(
@@ -36,40 +37,48 @@
         on_item,
         on_reset=lambda: None,
         on_loaded=lambda: None,
-        wait=defaults.WATCH_TIMEOUT_SECONDS,
-        pause=0.0,
+        poll_seconds=defaults.WATCH_TIMEOUT_SECONDS,
+        pause_seconds=0.0,
     ):
         self.store = store
         self.prefix = prefix
         self.on_item = on_item
         self.on_reset = on_reset
         self.on_loaded = on_loaded
-        self.wait = wait
-        self.pause = pause
+        self.poll_seconds = poll_seconds
+        self.pause_seconds = pause_seconds
         self.revision = 0
         self.loaded = False
         self.poll = None
-        self.answered = True
-        self.paused = False
+        self.store_answered = True
+        self.after_pause = False
 
-    def _wait(self):
+    def _next_poll_seconds(self):
         """Return the seconds for which the next poll waits at the store.
 
-        The time in which a connection may go silent unnoticed begins with the
-        pause: the poll after one waits that much less.
+        A connection may fail unnoticed during a pause, so the poll after one waits
+        that much less: pause and poll together take no longer than a usual poll.
         """
-        wait = self.wait - self.pause if self.paused else self.wait
-        return max(PROBE_SECONDS, wait) if self.answered else PROBE_SECONDS
+        poll_seconds = (
+            self.poll_seconds - self.pause_seconds
+            if self.after_pause
+            else self.poll_seconds
+        )
+        return (
+            max(RECOVERY_POLL_SECONDS, poll_seconds)
+            if self.store_answered
+            else RECOVERY_POLL_SECONDS
+        )
 
     async def step(self):
-        """One read or long poll; False when the store did not answer."""
+        """Make one read or long poll; return False when the store did not answer."""
         if not self.loaded:
-            return await self._read()
+            return await self._read_prefix()
         batch = await self._poll()
-        self.paused = False
+        self.after_pause = False
         if not self.loaded:
             return True
-        self.answered = batch.is_ok()
+        self.store_answered = batch.is_ok()
         if batch.is_error():
             return False
         if batch.ok.compacted:
@@ -78,14 +87,14 @@
         for event in batch.ok.events:
             self.on_item(event.key, event.value, event.revision)
         self.revision = max(self.revision, batch.ok.revision)
-        if batch.ok.events and self.pause:
-            self.paused = True
-            await asyncio.sleep(self.pause)
+        if batch.ok.events and self.pause_seconds:
+            self.after_pause = True
+            await asyncio.sleep(self.pause_seconds)
         return True
 
     async def _poll(self):
         self.poll = asyncio.ensure_future(
-            self.store.watch(self.prefix, self.revision, self._wait())
+            self.store.watch(self.prefix, self.revision, self._next_poll_seconds())
         )
         try:
             return await self.poll
@@ -97,15 +106,16 @@
             self.poll.cancel()
 
     def invalidate(self):
-        """Read everything again: the store's revisions don't go on from those known.
+        """Read the prefix again, as the store's revisions have been reset.
 
-        A poll under way may wait for a revision that was given to another change.
+        A poll in progress is cancelled: the revision after which it waits may be that
+        of another change now.
         """
         self.loaded = False
         if self.poll is not None:
             self.poll.cancel()
 
-    async def _read(self):
+    async def _read_prefix(self):
         era = self.store.era
         read = await self.store.range(self.prefix)
         if read.is_error():
@@ -122,7 +132,7 @@
         return True
 
     async def run(self):
-        """Follow forever, with a pause after each failed call."""
+        """Follow the prefix until cancelled, with a delay after each failed call."""
         while True:
             if not await self.step():
                 await asyncio.sleep(defaults.STORE_RETRY_SECONDS)
--- a/tests/peer_fleet.py
+++ b/tests/peer_fleet.py
@@ -1,5 +1,7 @@
-"""Entry VMs of several data centres that tell each other what they know, in
-simulated time and without a network: datagrams are delivered at once, or lost."""
+"""Entry VMs of several data centres that exchange messages in simulated time.
+
+There is no network: datagrams are delivered at once, or lost.
+"""
 
 import attrs
 
@@ -16,7 +18,7 @@
 
 @attrs.define
 class Transport:
-    """Delivers to the VMs of a fleet."""
+    """Delivers one VM's datagrams to the VMs of a fleet."""
 
     fleet: object
     sender: str
@@ -27,7 +29,7 @@
 
 @attrs.define(eq=False)
 class Vm:
-    """One VM; its name is its address."""
+    """One VM; its name is also its address."""
 
     name: str
     data_centre: str
@@ -40,10 +42,12 @@
 
 
 class PeerFleet:
-    """``sizes`` are the numbers of VMs by data centre.
+    """A fleet in simulated time.
+
+    :param sizes: number of VMs by data centre.
 
-    ``dead`` are the names of VMs that neither send nor receive, ``cut`` the pairs
-    of data centres between which nothing arrives.
+    ``dead`` holds the names of failed VMs, which neither send nor receive; ``cut``
+    holds the pairs of data centres between which datagrams are lost.
     """
 
     def __init__(self, monkeypatch, sizes):
@@ -63,7 +67,7 @@
                 )
 
     def add(self, name, data_centre):
-        """Add a VM that knows nobody yet."""
+        """Add a VM without peers."""
         membership = Membership(None, EntryVm(name, name, data_centre))
         tracker = LoadTracker()
         groups = PeerGroups(membership, tracker, data_centre)
@@ -73,7 +77,7 @@
         self.vms[name] = Vm(name, data_centre, membership, tracker, groups, link)
 
     def deliver(self, sender, receiver, data):
-        """Hand a datagram over, unless something is in its way."""
+        """Deliver a datagram, unless a VM has failed or their link is cut."""
         self.sent[sender] = self.sent.get(sender, 0) + 1
         if sender in self.dead or receiver in self.dead:
             return
@@ -83,7 +87,7 @@
         vm.link.datagram_received(data, (sender, PORT))
 
     def run(self, seconds, step=0.05):
-        """Let time pass."""
+        """Advance the time by ``seconds``, ``step`` at a time."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += step
@@ -92,7 +96,7 @@
                     self.tick(vm)
 
     def tick(self, vm):
-        """Send what is due."""
+        """Send a VM's message and its sum if they are due."""
         if self.now >= vm.next_message:
             vm.next_message = self.now + vm.link.interval()
             vm.link.send()
--- a/tests/test_authority_model.py
+++ b/tests/test_authority_model.py
@@ -1,10 +1,9 @@
-"""A hypothesis state machine: orders of controllers that race for the lease.
+"""A hypothesis state machine: orders of controllers that compete for the lease.
 
-Two controllers take, renew and lose the leader lease, are paused and woken,
-and send orders that may arrive any time later; engines restart. Whatever
-happens, an engine that a controller has sealed applies no order of an
-earlier one, checking tokens or not, and never two conflicting orders with
-one token.
+Two controllers acquire, renew and lose the leader lease, are paused and resumed,
+and send orders that may arrive at any later time; engines restart. In every case,
+an engine that a leader has fenced applies no order of an earlier one, whether it
+checks tokens or not, and never two conflicting orders with one token.
 """
 
 import asyncio
@@ -26,7 +25,7 @@
 
 
 class AuthorityMachine(RuleBasedStateMachine):
-    """Two controllers, an engine that checks tokens and one that does not."""
+    """Two controllers, an engine that checks tokens and one that doesn't."""
 
     def __init__(self):
         super().__init__()
@@ -65,7 +64,7 @@
         lease, state = self.leases[who], self.engines[engine]
         if self.paused[who] or not lease.valid(self.now):
             return
-        # What Controller.order puts into an order, from a view read just now.
+        # The fields that Controller.order sends, from a state that was just read.
         body = {
             "order_id": f"{who}-{version}",
             "fencing_token": lease.authority.token,
@@ -86,8 +85,8 @@
 
     @rule(who=st.integers(0, 1))
     def controller_takes_over_and_seals(self, who):
-        # The usual way of a failover in one step, so that most runs have one
-        # while older orders are still on their way.
+        # A usual failover as one step, so that most runs contain one while older
+        # orders are in transit.
         self.paused = [index != who for index in (0, 1)]
         self.time_passes(TTL + 1.0)
         for _ in range(2):
@@ -137,11 +136,10 @@
 
 @pytest.mark.parametrize("restarts", [False, True])
 @pytest.mark.parametrize("engine", [0, 1])
-def test_order_on_its_way_through_a_failover_changes_nothing(engine, restarts):
-    # A controller sends an order, which is held up on its way. It loses its
-    # lease, the next controller takes over, and the engine may have restarted
-    # meanwhile, which clears its token and its order count. Then the order
-    # arrives, at an engine that checks tokens or one that does not.
+def test_order_delayed_beyond_a_failover_changes_nothing(engine, restarts):
+    # Guards against a delayed order of a former leader. The next leader takes over
+    # while it is in transit, and the engine may restart meanwhile, which resets its
+    # token and its order count. The engine checks tokens or doesn't.
     machine = AuthorityMachine()
     machine.controller_takes_over_and_seals(0)
     machine.controller_orders(0, engine, 5)
@@ -153,8 +151,8 @@
 
 
 def test_order_carries_token_sequence_and_instance():
-    # The machine above builds its orders as Controller.order does: this
-    # holds the two together.
+    # Guards against a difference between Controller.order and the state machine above,
+    # which builds its orders itself.
     sent = {}
 
     async def go():
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,12 +1,12 @@
-"""Operators patch the configuration against a numbered version."""
+"""Operators patch the configuration at a given version."""
 
 import json
 
 
 def test_stale_patch_is_refused_and_changes_nothing(local_fleet, tmp_path):
-    # Two operators read version N; the first patch lands and makes N+1;
-    # the second, still written against N, must be refused with its result
-    # code rather than merged blindly, and the store must keep the first.
+    # Guards against a lost update: two operators read version N, and the first patch
+    # makes N+1. The second, based on N, must be refused with its result code instead of
+    # being merged, and the store must keep the first.
     shown = json.loads(local_fleet.ctl("config", "show").stdout)
     version = shown["version"]
     first = tmp_path / "first.toml"
--- a/tests/test_configuration_model.py
+++ b/tests/test_configuration_model.py
@@ -1,10 +1,10 @@
 """A hypothesis state machine: the configuration in force never goes back.
 
-Operators race patches against versions, the store goes down and loses the
-answers of writes that took effect, and followers see versions late, twice
-or out of order. Whatever happens, every follower's version only grows, an
-invalid version is never taken, and once the store is reachable the
-follower ends at the newest valid version written.
+Operators patch concurrently, the store has outages and loses the responses to
+writes that took effect, and followers see versions late, twice or out of order.
+In every case, a follower's version only increases, an invalid version is never
+accepted, and once the store is reachable, the follower reaches the newest valid
+version.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Writes to a versioned key, seen by two followers in any order."""
+    """Writes to a versioned key, which two followers see in any order."""
 
     def __init__(self):
         super().__init__()
@@ -95,8 +95,8 @@
 
 
 def test_follower_keeps_last_version_through_outage():
-    # The store goes down after version 1 is in force: the follower's watch
-    # fails again and again, and it must keep serving version 1 meanwhile.
+    # Guards against losing the configuration in an outage: the store fails after
+    # version 1 is in force, and the follower's watch fails repeatedly.
     class DownStore:
         calls = 0
         era = 0
@@ -126,10 +126,10 @@
 
 
 class PatchMachine(RuleBasedStateMachine):
-    """Two operators patch one store that loses answers and fails reads.
+    """Two operators patch one store that loses responses and fails reads.
 
-    Each patch sets ``leaving`` to its own mark, so that the store's history
-    shows which patches took effect.
+    Each patch sets a model name of its own, so that the store's history shows which
+    patches took effect.
     """
 
     def __init__(self):
@@ -174,10 +174,10 @@
         self.store.lost_writes = self.store.failing_reads = 0
         self.marks[mark] = result
         if result.is_ok():
-            assert self._landed(mark), "told done, and it never took effect"
+            assert self._landed(mark), "reported success, but it never took effect"
             self.known[operator] = result.ok
         elif result.error.code == ResultCode.STALE_VERSION:
-            assert not self._landed(mark), "told refused, and it took effect"
+            assert not self._landed(mark), "reported as stale, but it took effect"
 
     @invariant()
     def versions_only_grow(self):
@@ -185,10 +185,10 @@
         assert versions == sorted(versions)
 
 
-def test_patches_of_racing_operators(monkeypatch):
-    # Operators race each other while the store loses answers. One who is told
-    # "done" has changed the configuration; one who is told "stale" has not;
-    # anything else says that the outcome is unknown.
+def test_result_of_concurrent_patches_is_correct(monkeypatch):
+    # Guards against a wrong result of a patch when operators patch concurrently and the
+    # store loses responses: success means that it took effect, a stale version that it
+    # did not, and anything else that the outcome is unknown.
     monkeypatch.setattr(defaults, "STORE_RETRY_SECONDS", 0.0)
     run_state_machine_as_test(
         PatchMachine,
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -1,11 +1,11 @@
-"""Ports for the local fleets of tests that run at the same time."""
+"""Port allocation for the local fleets of test runs at the same time."""
 
 import subprocess
 import sys
 
 from mulberrydock.fleet import free_ports
 
-#: Fleets that one run of the tests sets up, about, and ports of each.
+#: Approximate number of fleets in one test run, and the ports of each.
 FLEETS = 30
 PORTS = 20
 
@@ -17,12 +17,10 @@
 """
 
 
-def test_runs_at_the_same_time_draw_no_port_twice():
-    """Two runs of the tests on one machine, and once in a while the setting up of a
-    fleet ends with a wait that is never met: a daemon couldn't listen, as a port that
-    was free when its fleet drew it had been drawn by the other run as well, whose
-    daemon was quicker. Nothing is bound in between, so each run needs ports of its own.
-    """
+def test_concurrent_runs_allocate_no_port_twice():
+    """Guards against a fleet that sometimes fails to start when two test runs share a
+    machine: both allocate the same free port, nothing is bound to it in between, and
+    the slower daemon can't listen. So each run needs ports of its own."""
     runs = [
         subprocess.Popen(
             [sys.executable, "-c", DRAW],
@@ -43,6 +41,6 @@
     assert not first & second
 
 
-def test_one_fleet_draws_no_port_twice():
+def test_one_fleet_gets_distinct_ports():
     ports = free_ports(PORTS)
     assert len(set(ports)) == PORTS
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -1,4 +1,4 @@
-"""Records of instances that are spoiled, foreign, old, or of a new start."""
+"""Instance records that are unreadable, outdated, or of a restarted instance."""
 
 import base64
 import json
@@ -9,7 +9,7 @@
 
 from mulberrydock.exceptions import SettingsError, UpstreamError
 from mulberrydock.fleet_view import FleetView
-from mulberrydock.instance_feed import REFUSED_KEPT, InstanceFeed
+from mulberrydock.instance_feed import MAX_REFUSED_IDS, InstanceFeed
 from mulberrydock.instances import InstanceRegistry
 from mulberrydock.platform import documents, read_instance
 from mulberrydock.platform.store import _event
@@ -28,14 +28,14 @@
 
 
 def written(raw, key=KEY):
-    """Return the (key, value) that a watch brings for bytes in the store."""
+    """Return the (key, value) that a watch returns for bytes in the store."""
     row = {"key": key, "revision": 5, "value": base64.b64encode(raw).decode()}
     event = _event(row)
     return event.key, event.value
 
 
 def feed():
-    """Return a feed whose registry knows the sound engines e1 and e2."""
+    """Return a feed whose registry contains the engines e1 and e2."""
     known = InstanceFeed(InstanceRegistry())
     for name in ("e1", "e2"):
         known.apply(f"servers/{name}", json.dumps(GOOD), 1, 0.0)
@@ -43,7 +43,7 @@
 
 
 def serving(known):
-    """Return the wire ids of the engines that may take work."""
+    """Return the wire ids of the engines that accept new work."""
     return {i.record.id for i in known.registry.serving("llm")}
 
 
@@ -62,10 +62,9 @@
         json.dumps(GOOD).encode().replace(b"llm", b"ll\xff"),
     ],
 )
-def test_bytes_that_are_no_record(raw):
-    """Another writer puts bytes under an engine's key. The watch that brings
-    every other change must go on, the engine gets nothing new, the others do,
-    and the engine's own next record puts it back."""
+def test_unreadable_record_only_stops_new_work_for_its_engine(raw):
+    """Guards against a watch that fails when other bytes are written under an engine's
+    key. That engine gets no new work until its next valid record; others do."""
     known = feed()
     known.apply(*written(raw), 5, 1.0)
     assert serving(known) == {"e2"}
@@ -101,10 +100,9 @@
         ("born", True),
     ],
 )
-def test_record_with_a_wrong_field(field, value):
-    """A record lacks a field that decides where requests go, or has it in
-    another type or with an unknown word. Guessing would send requests to a
-    place that nobody named."""
+def test_record_with_an_invalid_field_is_rejected(field, value):
+    """Guards against requests to a guessed address: a record lacks a field that routing
+    needs, or has it with another type or an unknown value."""
     row = dict(GOOD, **{field: value})
     if value is None and field != "born":
         del row[field]
@@ -114,9 +112,8 @@
 
 @pytest.mark.parametrize("field", ["version", "models", "cold_remaining_ms", "new"])
 @pytest.mark.parametrize("value", [None, 7, "x", [], {"a": [1]}])
-def test_fields_that_decide_nothing(field, value):
-    """A record carries fields that are unknown here or don't matter. It still
-    names its engine."""
+def test_unused_fields_of_a_record_are_ignored(field, value):
+    """Guards against rejecting a record for fields that are unknown or not used."""
     assert read_instance(KEY, json.dumps(dict(GOOD, **{field: value}))).id == "e1"
 
 
@@ -135,10 +132,9 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["e1", "x", "x/y", ""]), ROWS)))
-def test_no_record_harms_another(rows):
-    """Any bytes arrive under any keys, in any order. Nothing is raised, every
-    engine that may take work has a whole record, and e2, whose key nobody
-    touches, stays in use."""
+def test_no_record_affects_another(rows):
+    """Guards against an error, or the loss of e2, on any bytes under other keys in any
+    order; every engine that accepts work has a complete record."""
     known = feed()
     for number, (name, raw) in enumerate(rows):
         known.apply(*written(raw, f"servers/{name}"), number, float(number))
@@ -149,21 +145,20 @@
         assert documents._address(record.address)
 
 
-def test_spoiled_records_are_logged_once_and_remembered_in_bounds():
-    """A writer floods the store with unreadable records. What this VM
-    remembers of them stays bounded."""
+def test_number_of_remembered_unreadable_records_is_bounded():
+    """Guards against memory exhaustion when a writer floods the store with unreadable
+    records."""
     known = feed()
-    for number in range(REFUSED_KEPT * 2):
+    for number in range(MAX_REFUSED_IDS * 2):
         known.apply(f"servers/x{number}", "?", number, 0.0)
-    assert len(known.refused) == REFUSED_KEPT
+    assert len(known.refused_ids) == MAX_REFUSED_IDS
     known.apply("servers/x1", None, 1, 0.0)
-    assert len(known.refused) == REFUSED_KEPT - 1
+    assert len(known.refused_ids) == MAX_REFUSED_IDS - 1
 
 
-def test_spoiled_record_in_a_full_read_is_no_removed_one():
-    """The history is lost while an engine's record is spoiled. The full read
-    finds the key, so the engine isn't gone: its kept connections and the
-    streams on them stay until it says more."""
+def test_unreadable_record_in_a_full_read_is_not_a_removal():
+    """Guards against closing an engine's connections and streams because its record is
+    unreadable while the store's history is lost: the full read still finds its key."""
     known = feed()
     known.registry.begin_reload()
     known.apply("servers/e1", "?", 7, 1.0)
@@ -173,20 +168,29 @@
     assert serving(known) == {"e2"}
 
 
-def born(moment, **fields):
-    """Return a good record of an engine that started at ``moment``."""
+def record_started_at(moment, **fields):
+    """Return a valid record of an engine that started at ``moment``."""
     return json.dumps(dict(GOOD, born=moment, **fields))
 
 
 @pytest.mark.parametrize(
     ("records", "current", "dropped"),
     [
-        ([born(1), born(1)], 1, []),
-        ([born(1), born(2)], 2, ["e1@1"]),
-        ([born(2), born(1)], 2, []),
-        ([born(1), born(2), born(1), born(3)], 3, ["e1@1", "e1@2"]),
-        # It never said when it started: another address is another start.
-        ([json.dumps(GOOD), born(1)], 1, ["e1"]),
+        ([record_started_at(1), record_started_at(1)], 1, []),
+        ([record_started_at(1), record_started_at(2)], 2, ["e1@1"]),
+        ([record_started_at(2), record_started_at(1)], 2, []),
+        (
+            [
+                record_started_at(1),
+                record_started_at(2),
+                record_started_at(1),
+                record_started_at(3),
+            ],
+            3,
+            ["e1@1", "e1@2"],
+        ),
+        # Without a start time, another address means another incarnation.
+        ([json.dumps(GOOD), record_started_at(1)], 1, ["e1"]),
         (
             [json.dumps(GOOD), json.dumps(dict(GOOD, address="10.0.0.9:1"))],
             None,
@@ -194,74 +198,74 @@
         ),
     ],
 )
-def test_engine_that_starts_again_under_its_id(records, current, dropped):
-    """An engine crashes and starts again under its id, between two records or
-    with old ones read late. Everything known of the former start goes at once,
-    and an older record changes nothing."""
-    gone = []
-    known = InstanceFeed(InstanceRegistry(gone.append))
+def test_restarted_engine_replaces_its_former_incarnation(records, current, dropped):
+    """Guards against state of an incarnation that terminated: an engine restarts under
+    the same id, and older records may be read late; those change nothing."""
+    removed = []
+    known = InstanceFeed(InstanceRegistry(removed.append))
     for number, text in enumerate(records):
         known.apply(KEY, text, number, float(number))
     (instance,) = known.registry.serving("llm")
     assert instance.record.started_at_ms == current
-    assert gone == dropped
+    assert removed == dropped
 
 
-def test_draining_of_the_former_start_says_nothing_of_the_new_one():
-    """An engine said that it leaves, and starts again under its id instead.
-    The new start takes work; a late record of the old one doesn't end that."""
+def test_draining_of_the_former_incarnation_does_not_apply_to_the_new_one():
+    """Guards against a restarted engine without work because its former incarnation was
+    draining, whose record may be read late."""
     known = InstanceFeed(InstanceRegistry())
-    known.apply(KEY, born(1, state="draining"), 1, 0.0)
+    known.apply(KEY, record_started_at(1, state="draining"), 1, 0.0)
     assert serving(known) == set()
-    known.apply(KEY, born(2), 2, 1.0)
-    known.apply(KEY, born(1, state="draining"), 3, 2.0)
+    known.apply(KEY, record_started_at(2), 2, 1.0)
+    known.apply(KEY, record_started_at(1, state="draining"), 3, 2.0)
     assert serving(known) == {"e1"}
 
 
-def test_restart_that_the_engine_told_before_its_record():
-    """The engine's report shows a later start than its record. It gets nothing
-    until the new record is there, also if an old one is read once more."""
+def test_restart_that_the_engine_reports_before_its_record_does():
+    """Guards against work for an engine that reports a later start than its record: it
+    gets none until its new record is read, even if the old one is read again."""
     known = InstanceFeed(InstanceRegistry())
-    known.apply(KEY, born(1), 1, 0.0)
-    known.registry.restarted(known.registry.instances["e1"], 2)
-    known.apply(KEY, born(1), 2, 1.0)
+    known.apply(KEY, record_started_at(1), 1, 0.0)
+    known.registry.mark_restarted(known.registry.instances["e1"], 2)
+    known.apply(KEY, record_started_at(1), 2, 1.0)
     assert serving(known) == set()
-    known.apply(KEY, born(2), 3, 2.0)
+    known.apply(KEY, record_started_at(2), 3, 2.0)
     assert serving(known) == {"e1"}
 
 
-def test_restart_with_the_store_away():
-    """An engine starts again while the store is away: its record lapses and a
-    new one comes within the grace. It is a new start, not the old one back."""
-    gone = []
-    known = InstanceFeed(InstanceRegistry(gone.append))
-    known.apply(KEY, born(1), 1, 0.0)
+def test_restart_during_a_store_outage():
+    """Guards against taking a restarted engine for its former incarnation: its record
+    expires in an outage, and the new one is written within the grace period."""
+    removed = []
+    known = InstanceFeed(InstanceRegistry(removed.append))
+    known.apply(KEY, record_started_at(1), 1, 0.0)
     known.registry.mark_store_unavailable(1.0)
     known.apply(KEY, None, 2, 2.0)
     assert serving(known) == {"e1"}
     known.registry.mark_store_available(3.0)
-    known.apply(KEY, born(2), 3, 3.5)
+    known.apply(KEY, record_started_at(2), 3, 3.5)
     known.registry.sweep(9.0)
     assert serving(known) == {"e1"}
-    assert gone == ["e1@1"]
+    assert removed == ["e1@1"]
 
 
-def test_nothing_learnt_of_the_former_start_is_used():
-    """An engine with work, a hold and suspicion starts again. The new start
-    has none of it, here or in a late message of a peer, and work of the old
-    one that ends later changes nothing."""
+def test_new_incarnation_starts_without_state():
+    """Guards against avoiding a restarted engine for the load, cordon and suspicion of
+    its former incarnation; a send to that one may end later."""
 
     class Timing:
         retry_budget_ratio = 0.2
 
-    fleet = FleetView("dc1", Timing(), lambda: 1, lambda gone: fleet.forget(gone))
+    fleet = FleetView(
+        "dc1", Timing(), lambda: 1, lambda instance_id: fleet.forget(instance_id)
+    )
     known = InstanceFeed(fleet.instances)
-    known.apply(KEY, born(1), 1, 0.0)
+    known.apply(KEY, record_started_at(1), 1, 0.0)
     (former,) = fleet.instances.serving("llm")
     work = fleet.loads.begin(former.id, 5000, 1)
     fleet.loads.cordon(former.id, 99.0)
     fleet.suspicion.record_failure(former.id, 0.0, unreachable=True)
-    known.apply(KEY, born(2), 2, 1.0)
+    known.apply(KEY, record_started_at(2), 2, 1.0)
     (current,) = fleet.instances.serving("llm")
     assert former.terminated and not current.terminated
     assert current.id not in fleet.loads.total(1.0)
@@ -286,7 +290,7 @@
         b'{"stage":"decode","busy":false,"sequence":1,"born":"x"}',
     ],
 )
-def test_report_that_cannot_be_read(body):
-    """An engine answers a report with something else. No order is built on it."""
+def test_invalid_report_is_rejected(body):
+    """Guards against an order that is based on an invalid report."""
     with pytest.raises(UpstreamError):
         documents.read_report(body)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""When a candidate tries to take the duty."""
+"""When a candidate tries to acquire the leader lease."""
 
 import attrs
 import pytest
@@ -8,7 +8,7 @@
 
 @attrs.define
 class Candidate:
-    """What a lease asks of its VM."""
+    """The state that a lease queries from its VM."""
 
     vacant: bool = True
     turn: float = 0.0
@@ -19,24 +19,23 @@
     [
         (0.0, [True, True, True, True], [True, True, True, True]),
         (1.0, [True, True, True, True], [False, False, True, True]),
-        # Another one took it meanwhile: the wait begins anew.
+        # Another VM acquired it meanwhile: the wait starts again.
         (1.0, [True, False, True, True], [False, False, False, False]),
         (0.0, [False, False, True, True], [False, False, True, True]),
     ],
 )
-def test_a_vacant_duty_is_left_to_others_for_a_while(turn, vacant, due):
-    """The holder of the duty dies, and every VM sees its record go. Each attempt to
-    take it costs four calls to the store, so a VM waits for its turn; when another
-    one has taken it by then, it makes none."""
+def test_vms_try_in_turn_to_acquire_a_vacant_lease(turn, vacant, due):
+    """Guards against attempts of all VMs when the leader fails, four calls to the store
+    each: a VM waits for its turn, and makes none if another one is leader by then."""
     candidate = Candidate(turn=turn)
     lease = LeaderLease(
         None,
         "entry-1",
         3.0,
-        vacant=lambda: candidate.vacant,
-        turn=lambda: candidate.turn,
+        is_vacant=lambda: candidate.vacant,
+        takeover_delay=lambda: candidate.turn,
     )
     seen = []
     for step, candidate.vacant in enumerate(vacant):
-        seen.append(lease.due(10.0 + step * 0.5))
+        seen.append(lease.may_acquire(10.0 + step * 0.5))
     assert seen == due
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Decisions of the rollout and the role planner, as tables over the present time."""
+"""Decisions of the rollout and the role planner at given times."""
 
 import attrs
 import pytest
@@ -10,7 +10,7 @@
     StaticRoles,
     delayed_share,
 )
-from mulberrydock.rollout import HOLD_SETTLE_SECONDS, EngineView, Rollout, Target
+from mulberrydock.rollout import CORDON_SETTLE_SECONDS, EngineView, Rollout, Target
 from mulberrydock.settings import default_settings_text, parse_settings
 
 OLD, NEW = Target("m", "1", "", "both"), Target("m", "2", "", "both")
@@ -25,26 +25,26 @@
 @pytest.mark.parametrize(
     "held, changes, expected",
     [
-        # Not held yet: hold it before anything else.
+        # Not cordoned yet: cordon it before anything else.
         ({}, {}, ("hold",)),
-        # Held, but the report was made before the hold took effect.
+        # Cordoned, but the report was made before the cordon took effect.
         ({"a": 10.0}, {"reported_at": 10.5}, ()),
-        # Held and the report is late enough, but a letter still runs or waits.
+        # Cordoned and the report is late enough, but a request still runs or waits.
         ({"a": 10.0}, {"reported_at": 11.5, "running": 1}, ()),
         ({"a": 10.0}, {"reported_at": 11.5, "waiting": 1}, ()),
         ({"a": 10.0}, {"reported_at": 11.5}, ("order",)),
-        # A new engine runs nothing: no hold is needed.
+        # A new engine runs nothing: no cordon is needed.
         ({}, {"model": ""}, ("order",)),
-        # Ordered, and still away.
+        # Ordered, and still unavailable.
         ({"a": 10.0}, {"version": "2", "available": False}, ()),
         ({"a": 10.0}, {"version": "2"}, ("release",)),
-        # It can't be read any more.
+        # It is unreachable.
         ({"a": 10.0}, None, ("release",)),
     ],
 )
 def test_rollout_of_one_engine(held, changes, expected):
     rollout = Rollout()
-    rollout.held = dict(held)
+    rollout.cordoned = dict(held)
     views = {} if changes is None else {"a": _view("a", **changes)}
     actions = rollout.decide(views, {"a": NEW}, 12.0)
     done = [n for n in ("hold", "order", "release") if getattr(actions, n) == ["a"]]
@@ -52,18 +52,18 @@
 
 
 @pytest.mark.parametrize("engines, most", [(1, 1), (4, 1), (5, 1), (8, 2), (40, 10)])
-def test_rollout_holds_few_engines_at_a_time(engines, most):
+def test_rollout_cordons_few_engines_at_a_time(engines, most):
     names = [f"e{i}" for i in range(engines)]
     rollout, views, now, rounds = Rollout(), {n: _view(n) for n in names}, 0.0, 0
-    while any(v.runs != NEW for v in views.values()):
+    while any(v.current_target != NEW for v in views.values()):
         actions = rollout.decide(views, dict.fromkeys(names, NEW), now)
         for name in actions.release:
-            del rollout.held[name]
-        rollout.held.update(dict.fromkeys(actions.hold, now))
-        assert len(rollout.held) <= most
+            del rollout.cordoned[name]
+        rollout.cordoned.update(dict.fromkeys(actions.hold, now))
+        assert len(rollout.cordoned) <= most
         for name in actions.order:
             views[name] = _view(name, NEW)
-        now += HOLD_SETTLE_SECONDS
+        now += CORDON_SETTLE_SECONDS
         views = {n: attrs.evolve(v, reported_at=now) for n, v in views.items()}
         rounds += 1
         assert rounds < 10 * engines + 10
@@ -94,9 +94,9 @@
 @pytest.mark.parametrize(
     "change_weight, steps, expected",
     [
-        # Long prompts that last: the plan follows once they have settled.
+        # Long prompts for a while: the plan follows once the demand has settled.
         (1.0, [(0.0, 0.1), (1.0, 1.5), (3.0, 1.5), (5.0, 1.5)], [0, 0, 0, 2]),
-        # A brief swing changes nothing.
+        # A short burst changes nothing.
         (1.0, [(0.0, 0.1), (1.0, 1.5), (2.0, 0.1), (9.0, 0.1)], [0, 0, 0, 0]),
         # Short prompts again: the prefill engines do no harm, so they stay.
         (1.0, [(0.0, 1.5), (4.0, 1.5), (15.0, 0.1), (20.0, 0.1)], [0, 2, 2, 2]),
@@ -111,8 +111,8 @@
 
 
 def test_a_change_of_plan_waits_for_the_interval_since_the_last():
-    # Long answers come right after long prompts: the engines are wanted back,
-    # but not before the interval is over.
+    # Guards against roles that change too often: long outputs follow right after long
+    # prompts, and the engines change back only when the interval is over.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     for now in (0.0, 4.0):
         before = _prefilling(planner, Demand(1.5, 0.5), now)
@@ -122,9 +122,10 @@
 
 
 @pytest.mark.parametrize("later, expected", [(10.0, 0), (600.0, 2)])
-def test_a_recent_peak_of_answers_keeps_engines_from_prefilling(later, expected):
-    # Long answers filled four engines. Long prompts follow at once: taking
-    # two engines for them would leave too few when the answers come back.
+def test_recent_peak_of_decode_demand_keeps_engines_from_prefilling(later, expected):
+    # Guards against too few decode engines: long outputs occupied four engines, and
+    # long prompts follow at once. With two prefill engines, too few would be left when
+    # the long outputs return.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     _prefilling(planner, Demand(0.1, 3.8), 0.0)
     for now in (later, later + 4.0):
@@ -133,16 +134,16 @@
 
 
 @pytest.mark.parametrize("prefill", [0.0, 1.0, 2.0, 4.0, 9.0])
-def test_some_engine_always_generates(prefill):
+def test_some_engine_always_decodes(prefill):
     planner = MixRoles(1.0, 0.0, settle_seconds=0.0, interval_seconds=0.0)
     for now in (0.0, 1.0, 2.0):
         assert _prefilling(planner, Demand(prefill, 0.0), now) < 5
     assert StaticRoles().plan([_view("a")], Demand(9.0, 0.0), 0.0) == {"a": "both"}
 
 
-def test_no_engine_can_be_read():
-    # Right after its start, or cut off from every engine, a controller has no
-    # view to plan for; it must go on, and later keep the roles it planned.
+def test_planner_goes_on_while_no_engine_is_reachable():
+    # Guards against a planner that fails or loses its roles without any engine's state,
+    # as after a controller's start or while it is disconnected from all engines.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     assert planner.plan([], Demand(), 0.0) == {}
     for now in (1.0, 5.0):
@@ -151,7 +152,7 @@
     assert _prefilling(planner, Demand(1.5, 1.0), 7.0) == before == 2
 
 
-def test_a_new_controller_goes_on_from_the_roles_that_engines_have():
+def test_a_new_controller_keeps_the_roles_that_engines_have():
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     views = [_view("a", attrs.evolve(OLD, role="prefill")), _view("b"), _view("c")]
     roles = planner.plan(views, Demand(0.6, 0.5), 0.0)
--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -1,4 +1,4 @@
-"""How the holder of the duty gives its orders, to engines that answer at once."""
+"""How the leader sends its stage orders, to engines that answer at once."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Answer:
-    """What an engine answers to a call."""
+    """An engine's response to a call."""
 
     status: int
     body: str = ""
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Engines:
-    """Stands in for wire, relay and store; ``status`` answers each order."""
+    """Stands in for wire, relay and store; ``status`` is the response to each order."""
 
     status: int
     ordered: list = attrs.field(factory=list)
@@ -40,7 +40,7 @@
         return (record.id, stage)
 
     async def revoke(self, lease):
-        """The store's part: the lease is given up."""
+        """Stands in for the store's call that revokes the lease."""
 
     async def call(self, instance, call, seconds):
         if call == "report":
@@ -49,8 +49,8 @@
         return Answer(self.status) if self.status else None
 
 
-def duty_over(engines, decoders):
-    """Return the duty of a holder whose wait is over, over an idle pool."""
+def controller_over(engines, decoders):
+    """Return the controller of a leader that may send orders, with an idle pool."""
     fleet = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     fleet.routes.accept(
         RoutingConfig(1, (), {"llm": ServiceSpec("llm", 100, 1000)}, None)
@@ -66,17 +66,17 @@
 
 @pytest.mark.parametrize(
     ("status", "at_once"),
-    # Accepted; lost on the way; refused as the token is stale.
+    # Accepted; response lost; refused as the token is stale.
     [(202, 10), (None, 1), (412, 1)],
 )
 def test_changes_of_a_large_pool_are_ordered_together(status, at_once):
-    """An idle pool of 40 engines lacks 20 that prefill. Given one by one, its orders
-    took five seconds, and each engine's change woke every VM's watch of the store.
-    A quarter of the pool is ordered at once, unless an order isn't accepted."""
+    """Guards against orders one at a time: an idle pool of 40 engines lacks 20 prefill
+    engines, which then takes five seconds, and each change completes the poll of every
+    VM's watch. A quarter of the pool is ordered at once, until one isn't accepted."""
     engines = Engines(status)
-    duty = duty_over(engines, 40)
+    controller = controller_over(engines, 40)
     assert idle_prefills(40, 12) == 20
-    asyncio.run(duty.look(10.0))
-    asyncio.run(duty.look(10.0 + PREFILL_SHORTAGE_SECONDS))
+    asyncio.run(controller.run_pass(10.0))
+    asyncio.run(controller.run_pass(10.0 + PREFILL_SHORTAGE_SECONDS))
     assert len(engines.ordered) == at_once
     assert len(set(engines.ordered)) == at_once
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -1,7 +1,7 @@
-"""The store comes back from a copy some seconds old, before real daemons.
+"""The store is restored from a copy some seconds old while real daemons run.
 
-What was acknowledged since the copy is lost, leases too; revisions and lease ids are
-given out again. The operator and the instances write theirs again.
+Writes acknowledged after the copy are lost, as are leases; revisions and lease ids
+are assigned again. The operator and the instances write their values again.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 from platform_fleet import RESUMABLE_PATH, PlatformFleet, config, wait_until
 
 from mulberrydock.instances import (
-    DOUBT_SECONDS,
     STORE_RECOVERY_GRACE_SECONDS,
+    UNCONFIRMED_SECONDS,
     InstanceRecord,
     InstanceRegistry,
     Stage,
 )
-from mulberrydock.lease import ERA_VERSIONS, LeaderLease
+from mulberrydock.lease import VERSIONS_PER_ERA, LeaderLease
 from mulberrydock.quarantine import (
     CRASH_LIMIT,
     PEER_CRASH_WRITE_DELAY_SECONDS,
@@ -27,13 +27,13 @@
 from mulberrydock.standin.platform_store import PlatformStoreState
 from mulberrydock.standin.store import DirectStore
 
-#: Configurations written before the loss: their revisions are given out again.
+#: Number of configurations that are lost and whose revisions are assigned again.
 VERSIONS = 8
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    """A store with a configuration, two decode engines, two daemons."""
+    """A store with a configuration, two decode engines and two daemons."""
     running = PlatformFleet(tmp_path)
     running.write("op/config", config(3))
     for instance_id in "d1", "d2":
@@ -49,8 +49,10 @@
 
 
 def lose(fleet, copied, documents=()):
-    """Let the store come back from ``copied``, where ``documents`` (key, value) are
-    written first and its revisions reach those that the daemons wait beyond."""
+    """Restore the store from ``copied`` and write ``documents``, (key, value) pairs.
+
+    Its revisions then exceed the ones that the daemons have seen.
+    """
 
     def restore():
         known = fleet.store.revision
@@ -64,14 +66,14 @@
 
 
 def in_force(fleet, name, version):
-    """True once the daemon has said that a configuration is in force."""
+    """Return whether the daemon has logged that a configuration is in force."""
     events = fleet.log_records("configuration in force", name)
     return any(event["version"] == version for event in events)
 
 
-# Guards against a follower that misses changes whose revisions are given out again, and
+# Guards against a follower that misses changes whose revisions are assigned again, and
 # against one that goes back to an older configuration.
-def test_configuration_goes_on_after_the_store_lost_some(fleet):
+def test_configuration_is_followed_after_the_store_lost_versions(fleet):
     copied = fleet.call_on_loop(fleet.store.snapshot)
     for version in range(4, 4 + VERSIONS):
         fleet.write("op/config", config(version))
@@ -86,7 +88,7 @@
         assert versions == sorted(versions)
 
 
-# Guards against VMs that stay without a record, or renew a lease that isn't theirs.
+# Guards against VMs that stay unregistered, or renew another VM's lease.
 def test_daemons_register_again_and_serve(fleet):
     before = {key for key in fleet.store.items if key.startswith("entries/")}
     copied = fleet.call_on_loop(fleet.store.snapshot)
@@ -104,8 +106,8 @@
     assert fleet.request(RESUMABLE_PATH, "r1").status == 200
 
 
-# Guards against an engine that drains being used again, as the copy says it is ready.
-def test_engine_that_drains_stays_out(fleet):
+# Guards against work for a draining engine whose record in the copy says it is ready.
+def test_draining_engine_gets_no_work_after_a_restore(fleet):
     copied = fleet.call_on_loop(fleet.store.snapshot)
     fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
@@ -118,7 +120,7 @@
     assert not fleet.engines["d1"].runs
 
 
-# Guards against a holder that gets a lower fencing token than the one before it.
+# Guards against a leader whose fencing token is lower than its predecessor's.
 def test_fencing_tokens_rise_over_eras():
     async def go():
         state = PlatformStoreState()
@@ -137,11 +139,11 @@
 
     tokens = asyncio.run(go())
     assert tokens == sorted(set(tokens))
-    assert [token // ERA_VERSIONS for token in tokens] == [0, 1, 2]
+    assert [token // VERSIONS_PER_ERA for token in tokens] == [0, 1, 2]
 
 
-# Guards against an authority over a lease that the store has lost while it was taken.
-def test_lease_taken_as_the_store_lost_it_is_none():
+# Guards against a leader whose lease was lost by a restore while it was acquired.
+def test_lease_lost_while_it_is_acquired_gives_no_authority():
     async def go():
         store = DirectStore(PlatformStoreState())
         lease = LeaderLease(store, "entry-1", 10.0)
@@ -165,17 +167,17 @@
     )
 
 
-# Guards against work for an engine that has left, whose record an older copy holds, and
-# against one that is lost for good because its record came late.
+# Guards against work for an instance that has left but whose record is in an older
+# copy, and against never using an instance again that is alive and keeps that record.
 @pytest.mark.parametrize(
     ("removed_again", "seconds", "expected"),
     [
         (False, 0.1, {"a"}),
-        (False, DOUBT_SECONDS + 0.1, {"a", "b"}),
-        (True, DOUBT_SECONDS + 0.1, {"a"}),
+        (False, UNCONFIRMED_SECONDS + 0.1, {"a", "b"}),
+        (True, UNCONFIRMED_SECONDS + 0.1, {"a"}),
     ],
 )
-def test_record_of_an_instance_that_left(removed_again, seconds, expected):
+def test_restored_record_of_a_removed_instance(removed_again, seconds, expected):
     registry = InstanceRegistry()
     for name in "a", "b":
         registry.put(record(name), 0.0)
@@ -191,9 +193,9 @@
     assert {i.record.id for i in registry.serving("s")} == expected
 
 
-# Guards against engines that are given up, as the copy is older than their records.
+# Guards against dropping engines at once when the copy is older than their records.
 @pytest.mark.parametrize("back", [True, False])
-def test_instance_that_the_copy_lacks_has_time_to_write_again(back):
+def test_instance_that_the_copy_lacks_has_time_to_register_again(back):
     registry = InstanceRegistry()
     for name in "a", "b":
         registry.put(record(name), 0.0)
@@ -209,10 +211,10 @@
     assert len(registry.serving("s")) == 1 + back
 
 
-# Guards against crashing work that leaves quarantine as the store lost its crashes, and
-# against cleared work that returns to it.
+# Guards against crashing work that leaves quarantine because the store lost its crash
+# records, and against cleared work that returns to quarantine.
 @pytest.mark.parametrize("served", [False, True])
-def test_crashes_outlast_an_older_copy(served):
+def test_quarantine_is_unchanged_by_a_restore(served):
     book, now = Quarantine(), 100.0
     crashes = [Crash("w", f"e{number}") for number in range(CRASH_LIMIT)]
     for crash in crashes:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The prefix watch against an in-process fake store."""
+"""The prefix watch with an in-process stand-in store."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 from mulberrydock.platform import PlatformStore
 from mulberrydock.standin import store as fake_store
 from mulberrydock.store import Event, StoreClient, WatchBatch
-from mulberrydock.watch import PROBE_SECONDS, PrefixWatch
+from mulberrydock.watch import RECOVERY_POLL_SECONDS, PrefixWatch
 
 
 @attrs.define
 class WatchedStore:
-    """Answers watches, or doesn't, as told; notes how long each may wait."""
+    """Answers watches or not, as in ``answers``; records how long each may wait."""
 
     answers: list
     waits: list = attrs.field(factory=list)
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("before", [0, 2])
 def test_first_write_after_the_watch_began_is_seen(before):
-    # An entry starts before anyone has written to a new store. The first
-    # configuration gets revision 1: a watch that begins after revision 1
-    # never shows it, and the entry would wait for the second one.
+    # Guards against missing the first configuration: an entry starts with an empty
+    # store, and the first write gets revision 1, which a watch after revision 1 would
+    # not return.
     async def go():
         app = fake_store.make_app()
         server = tornado.httpserver.HTTPServer(app)
@@ -57,15 +57,17 @@
     ("answers", "waits"),
     [
         ([True, True], [2.0, 2.0]),
-        ([False, False, True, True], [2.0, PROBE_SECONDS, PROBE_SECONDS, 2.0]),
+        (
+            [False, False, True, True],
+            [2.0, RECOVERY_POLL_SECONDS, RECOVERY_POLL_SECONDS, 2.0],
+        ),
     ],
 )
 def test_polls_are_short_until_the_store_answers_again(answers, waits):
-    """The store swallows calls for a while. A poll of 2 s that is sent just
-    before its return would be lost as well, and a VM would miss a configuration
-    that the operator wrote in that moment for 2 s more."""
+    """Guards against a configuration that is seen 2 s late: the store drops calls for a
+    while, and a poll of 2 s that is sent just before the outage ends is lost too."""
     store = WatchedStore(list(answers))
-    watch = PrefixWatch(store, "config", lambda *row: None, wait=2.0)
+    watch = PrefixWatch(store, "config", lambda *row: None, poll_seconds=2.0)
     watch.loaded = True
     for answered in answers:
         assert asyncio.run(watch.step()) is answered
@@ -73,22 +75,24 @@
 
 
 def test_poll_after_a_pause_is_shorter_by_it():
-    """Every connection goes silent while a VM rests after changes. It notices when
-    its next poll is over: pause and poll together must not take longer than a poll
-    that was waiting in that moment."""
+    """Guards against detecting failed connections too late. If they fail during a
+    pause, the VM notices when its next poll times out: pause and poll together must
+    take no longer than a poll alone."""
     store = WatchedStore([True, True, True], events=[[Event(3, "config", "x")]])
-    watch = PrefixWatch(store, "config", lambda *row: None, wait=2.0, pause=0.01)
+    watch = PrefixWatch(
+        store, "config", lambda *row: None, poll_seconds=2.0, pause_seconds=0.01
+    )
     watch.loaded = True
     for _ in range(3):
         assert asyncio.run(watch.step())
     assert store.waits == [2.0, 2.0 - 0.01, 2.0]
 
 
-def test_every_call_shows_whether_the_store_is_away():
-    """The store is silent for four seconds, and lapses the records of all instances.
-    The poll that waits through it is answered with their removal. The VM must have
-    noticed the outage by then, by the renewal of its lease, or it would take all of
-    them for gone."""
+def test_every_call_reports_whether_the_store_answers():
+    """Guards against dropping all instances after an outage: the store doesn't answer
+    for four seconds, and the records of all instances expire. A poll that spans the
+    outage returns their removal; the renewal of the VM's lease must have failed before.
+    """
     (port,) = free_ports(1)
     store = PlatformStore(f"127.0.0.1:{port}", timeout=0.3)
     answers = []
