--- a/src/mulberrydock/directory.py
+++ b/src/mulberrydock/directory.py
@@ -43,8 +43,10 @@
         # Where not all addresses fit, each VM answers with a different selection.
         name = self.groups.name
         rows.sort(key=lambda row: (row[0] != data_centre, rank(name, row[1])))
-        near = sum(row[0] == data_centre for row in rows)
-        count = min(MAX_ADDRESSES, max(near, MIN_ADDRESSES)) if near else MAX_ADDRESSES
+        local = sum(row[0] == data_centre for row in rows)
+        count = (
+            min(MAX_ADDRESSES, max(local, MIN_ADDRESSES)) if local else MAX_ADDRESSES
+        )
         return sorted(address for _, address in rows[:count])
 
     def takeover_rank(self, now):
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -38,14 +38,14 @@
     :param data_centre: the data centre of this VM.
     :param timing: the ``[timing]`` settings, for the retry budget.
     :param vm_count: returns the number of entry VMs, this one included.
-    :param on_gone: called with the incarnation of each instance that is removed.
+    :param on_removed: called with the incarnation of each instance that is removed.
     :param limits: the :class:`~mulberrydock.rate_limits.RateLimits` of the
         instances, None for a VM without peers.
     """
 
-    def __init__(self, data_centre, timing, vm_count, on_gone, limits=None):
+    def __init__(self, data_centre, timing, vm_count, on_removed, limits=None):
         self.routes = RouteTable()
-        self.instances = InstanceRegistry(on_gone)
+        self.instances = InstanceRegistry(on_removed)
         self.loads = LoadTracker()
         self.suspicion = Suspicion()
         self.limits = limits or RateLimits()
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -66,7 +66,8 @@
     """An engine's report of its own state, some hundred milliseconds old.
 
     ``busy`` is true while an order is being carried out; ``orders`` counts the
-    orders accepted since its start at ``started_at_ms`` (as in :class:`InstanceRecord`).
+    orders accepted since its start at ``started_at_ms``, Unix milliseconds or None as
+    in :class:`InstanceRecord`.
     """
 
     stage: Stage
@@ -113,7 +114,7 @@
 
     Methods take the current time as ``now``, in monotonic seconds.
 
-    :param on_gone: called with the incarnation of each instance that is removed
+    :param on_removed: called with the incarnation of each instance that is removed
         from the registry.
 
     ``terminated_ids`` holds the incarnations known to have terminated. ``removed_at``
@@ -121,7 +122,7 @@
     holds the records of those that a restored store contains again.
     """
 
-    def __init__(self, on_gone=lambda instance_id: None):
+    def __init__(self, on_removed=lambda instance_id: None):
         self.instances = {}
         self.terminated_ids = set()
         self.removed_at = {}
@@ -129,7 +130,7 @@
         self.unconfirmed_until = None
         # Ids that the full read in progress has returned so far.
         self.read_ids = set()
-        self.on_gone = on_gone
+        self.on_removed = on_removed
         self.unavailable_since = None
         self.available_since = -STORE_RECOVERY_GRACE_SECONDS
 
@@ -234,7 +235,7 @@
     def mark_restarted(self, instance, started_at_ms):
         """Drop an incarnation whose instance reports a later start than its record.
 
-        :param born: the start that the instance reports, in Unix milliseconds.
+        :param started_at_ms: the start that it reports, in Unix milliseconds.
         """
         if self.instances.get(instance.record.id) is instance:
             self.terminated_ids.add(instance.id)
@@ -314,7 +315,7 @@
         instance.leaving = True
         instance.terminated = True
         logger.info("instance gone", instance=instance.id, reason=reason)
-        self.on_gone(instance.id)
+        self.on_removed(instance.id)
 
     def serving(self, service, stage=None):
         """Return the instances of ``service`` that accept new work.
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -41,8 +41,8 @@
     ``name`` is the sender's; ``data_centre`` is the data centre whose sum this is,
     empty for the sender's own report. ``prefills`` maps instance ids to (key, tokens)
     rows of the prompt parts prefilled there since the last message. ``pools`` are
-    :class:`~mulberrydock.learned.PoolUpdate`, ``samples`` are
-    :class:`~mulberrydock.learned.PrefillSample`, ``crashes`` are
+    :class:`~mulberrydock.estimates.PoolUpdate`, ``samples`` are
+    :class:`~mulberrydock.estimates.PrefillSample`, ``crashes`` are
     :class:`~mulberrydock.quarantine.Crash`, ``limits`` are :class:`LimitUpdate`.
     """
 
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -42,7 +42,7 @@
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which choose the
         receivers.
     :param leaving: returns True once this VM drains.
-    :param estimates: the :class:`~mulberrydock.learned.FleetEstimates`, None to send no
+    :param estimates: the :class:`~mulberrydock.estimates.FleetEstimates`, None to send no
         estimates and no crashes.
     :param suspects: returns the ids of the instances that this VM suspects at a time.
     :param quarantine: the :class:`~mulberrydock.quarantine.Quarantine`, None to send
@@ -143,8 +143,8 @@
         if self.quarantine is None:
             return
         for crash in crashes:
-            spread = rank(crash.work, self.name)[0] / 256
-            self.quarantine.apply_peer_crash(crash, spread, now)
+            jitter = rank(crash.work, self.name)[0] / 256
+            self.quarantine.apply_peer_crash(crash, jitter, now)
 
     def _apply_limits(self, limits, now):
         if self.limits is None:
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -103,7 +103,7 @@
             settings.data_centre,
             settings.timing,
             self.membership.count_vms,
-            self._on_gone,
+            self._on_instance_removed,
             RateLimits(
                 settings.name,
                 lambda now: self.groups.senders(now),
@@ -182,7 +182,7 @@
     def _is_draining(self):
         return self.draining
 
-    def _on_gone(self, instance_id):
+    def _on_instance_removed(self, instance_id):
         self.relay.forget(instance_id)
         self.fleet.forget(instance_id)
         self.fleet.quarantine.record_termination(instance_id, time.monotonic())
@@ -252,8 +252,8 @@
 
     def _on_loaded(self):
         now = time.monotonic()
-        spread = rank("crashes", self.settings.name)[0] / 256
-        self.fleet.quarantine.finish_reload(spread, now)
+        jitter = rank("crashes", self.settings.name)[0] / 256
+        self.fleet.quarantine.finish_reload(jitter, now)
         self.fleet.instances.finish_reload(now)
         self.membership.finish_reload()
 
--- a/tests/test_instance_records.py
+++ b/tests/test_instance_records.py
@@ -262,7 +262,7 @@
     known = InstanceFeed(fleet.instances)
     known.apply(KEY, record_started_at(1), 1, 0.0)
     (former,) = fleet.instances.serving("llm")
-    work = fleet.loads.begin(former.id, 5000, 1)
+    send = fleet.loads.begin(former.id, 5000, 1)
     fleet.loads.cordon(former.id, 99.0)
     fleet.suspicion.record_failure(former.id, 0.0, unreachable=True)
     known.apply(KEY, record_started_at(2), 2, 1.0)
@@ -272,7 +272,7 @@
     assert former.id not in fleet.loads.total(1.0)
     assert current.id not in fleet.loads.cordoned(1.0)
     assert fleet.suspicion.healthy([current], 1.0) == [current]
-    work.end()
+    send.end()
     assert fleet.loads.total(1.0) == {}
     assert isinstance(fleet.suspicion, Suspicion)
 
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -42,10 +42,10 @@
 def test_load_of_ended_requests_is_dropped_everywhere(peer_fleet):
     """Guards against VMs that avoid an engine more than a second after its requests."""
     fleet = peer_fleet(**MIDDLE)
-    works = [vm.tracker.begin("e1", 100) for vm in fleet.vms.values()]
+    sends = [vm.tracker.begin("e1", 100) for vm in fleet.vms.values()]
     fleet.run(2.0)
-    for work in works:
-        work.end()
+    for send in sends:
+        send.end()
     fleet.run(2 * SUM_INTERVAL_SECONDS + 0.4)
     assert [vm.tracker.total(fleet.now) for vm in fleet.vms.values()] == [{}] * 36
 
@@ -62,8 +62,8 @@
         def count(peers, data, name=name, send_to=send_to):
             peers = list(peers)
             update = decode(data, fleet.now)
-            far = update.data_centre != fleet.vms[name].data_centre
-            relays[fleet.vms[name].data_centre] += bool(update.data_centre and far)
+            remote = update.data_centre != fleet.vms[name].data_centre
+            relays[fleet.vms[name].data_centre] += bool(update.data_centre and remote)
             send_to(peers, data)
 
         vm.link._send_to = count
@@ -87,16 +87,16 @@
     ]
     assert len(reporters) == REPORTERS_PER_DATA_CENTRE
     fleet.dead |= set(reporters[:lost])
-    living = [vm for vm in fleet.vms.values() if vm.name not in fleet.dead]
-    for vm in living:
+    live = [vm for vm in fleet.vms.values() if vm.name not in fleet.dead]
+    for vm in live:
         vm.tracker.begin("e1", 100)
     # The store removes their records when their leases expire.
-    for vm in living:
+    for vm in live:
         for name in fleet.dead:
             vm.membership._expire(name)
     fleet.run(5.0)
-    for vm in living:
-        assert vm.tracker.total(fleet.now)["e1"].running == len(living)
+    for vm in live:
+        assert vm.tracker.total(fleet.now)["e1"].running == len(live)
 
 
 def test_last_sum_of_a_disconnected_data_centre_expires(peer_fleet):
@@ -158,10 +158,10 @@
     vm = fleet.vms["a-0"]
     addresses = Directory(vm.groups, vm.name).addresses(False, fleet.now, asked)
     assert len(addresses) == expected
-    near = [address for address in addresses if address.startswith("a-")]
+    local = [address for address in addresses if address.startswith("a-")]
     assert not set(addresses) & fleet.dead
     if asked:
-        assert len(near) == min(alive, expected)
+        assert len(local) == min(alive, expected)
 
 
 def test_clients_of_a_small_fleet_get_all_vms(peer_fleet):
--- a/tests/test_store_era.py
+++ b/tests/test_store_era.py
@@ -48,15 +48,15 @@
         running.stop()
 
 
-def lose(fleet, copied, documents=()):
-    """Restore the store from ``copied`` and write ``documents``, (key, value) pairs.
+def restore_store(fleet, snapshot, documents=()):
+    """Restore the store from ``snapshot`` and write ``documents``, (key, value) pairs.
 
     Its revisions then exceed the ones that the daemons have seen.
     """
 
     def restore():
         known = fleet.store.revision
-        fleet.store.restore(copied)
+        fleet.store.restore(snapshot)
         for key, document in documents:
             fleet.store.write(key, document)
         while fleet.store.revision <= known:
@@ -74,13 +74,13 @@
 # Guards against a follower that misses changes whose revisions are assigned again, and
 # against one that goes back to an older configuration.
 def test_configuration_is_followed_after_the_store_lost_versions(fleet):
-    copied = fleet.call_on_loop(fleet.store.snapshot)
+    snapshot = fleet.call_on_loop(fleet.store.snapshot)
     for version in range(4, 4 + VERSIONS):
         fleet.write("op/config", config(version))
     last = 3 + VERSIONS
     for name in fleet.daemons:
         wait_until(lambda: in_force(fleet, name, last))
-    lose(fleet, copied, [("op/config", config(last + 1))])
+    restore_store(fleet, snapshot, [("op/config", config(last + 1))])
     for name in fleet.daemons:
         wait_until(lambda: in_force(fleet, name, last + 1))
         events = fleet.log_records("configuration in force", name)
@@ -91,11 +91,11 @@
 # Guards against VMs that stay unregistered, or renew another VM's lease.
 def test_daemons_register_again_and_serve(fleet):
     before = {key for key in fleet.store.items if key.startswith("entries/")}
-    copied = fleet.call_on_loop(fleet.store.snapshot)
+    snapshot = fleet.call_on_loop(fleet.store.snapshot)
     for key in before:
-        copied.items.pop(key)
-    copied.leases.clear()
-    lose(fleet, copied)
+        snapshot.items.pop(key)
+    snapshot.leases.clear()
+    restore_store(fleet, snapshot)
 
     def registered():
         keys = {key for key in fleet.store.items if key.startswith("entries/")}
@@ -108,11 +108,11 @@
 
 # Guards against work for a draining engine whose record in the copy says it is ready.
 def test_draining_engine_gets_no_work_after_a_restore(fleet):
-    copied = fleet.call_on_loop(fleet.store.snapshot)
+    snapshot = fleet.call_on_loop(fleet.store.snapshot)
     fleet.write("servers/d1", fleet.engines["d1"].store_document("draining"))
     for name in fleet.daemons:
         wait_until(lambda: fleet.log_records("instance draining", name))
-    lose(fleet, copied)
+    restore_store(fleet, snapshot)
     for name in fleet.daemons:
         wait_until(lambda: fleet.log_records("store restored from an older copy", name))
     for number in range(6):
@@ -126,7 +126,7 @@
         state = PlatformStoreState()
         store = DirectStore(state)
         tokens = []
-        copied = state.snapshot()
+        snapshot = state.snapshot()
         for era in range(3):
             store.era = era
             lease = LeaderLease(store, f"entry-{era}", 10.0)
@@ -134,7 +134,7 @@
                 await store.put("other", "x")
             assert await lease.acquire(time.monotonic())
             tokens.append(lease.authority.token)
-            state.restore(copied)
+            state.restore(snapshot)
         return tokens
 
     tokens = asyncio.run(go())
@@ -149,12 +149,12 @@
         lease = LeaderLease(store, "entry-1", 10.0)
         put = store.put
 
-        async def lose(*args, **options):
+        async def put_before_restore(*args, **options):
             written = await put(*args, **options)
             store.era += 1
             return written
 
-        store.put = lose
+        store.put = put_before_restore
         return await lease.acquire(time.monotonic()), lease.authority.token
 
     assert asyncio.run(go()) == (False, 0)
@@ -215,24 +215,24 @@
 # records, and against cleared work that returns to quarantine.
 @pytest.mark.parametrize("served", [False, True])
 def test_quarantine_is_unchanged_by_a_restore(served):
-    book, now = Quarantine(), 100.0
+    quarantine, now = Quarantine(), 100.0
     crashes = [Crash("w", f"e{number}") for number in range(CRASH_LIMIT)]
     for crash in crashes:
-        book.apply(crash.key, 1000.0)
+        quarantine.apply(crash.key, 1000.0)
     if served:
-        book.record_request_end("w", True, now)
-        assert book.removals == set(crashes)
-        book.removals.clear()
-    book.handle_store_restored()
-    book.begin_reload()
+        quarantine.record_request_end("w", True, now)
+        assert quarantine.removals == set(crashes)
+        quarantine.removals.clear()
+    quarantine.handle_store_restored()
+    quarantine.begin_reload()
     for crash in crashes if served else crashes[:1]:
-        book.apply(crash.key, 1000.0)
-    book.finish_reload(0.5, now)
-    assert book.is_quarantined("w", now) is not served
+        quarantine.apply(crash.key, 1000.0)
+    quarantine.finish_reload(0.5, now)
+    assert quarantine.is_quarantined("w", now) is not served
     if served:
-        assert book.removals == set(crashes)
+        assert quarantine.removals == set(crashes)
         return
-    assert not book.due_writes(now)
-    assert set(book.due_writes(now + 2 * PEER_CRASH_WRITE_DELAY_SECONDS)) == set(
+    assert not quarantine.due_writes(now)
+    assert set(quarantine.due_writes(now + 2 * PEER_CRASH_WRITE_DELAY_SECONDS)) == set(
         crashes[1:]
     )
