--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -42,8 +42,8 @@
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which choose the
         receivers.
     :param leaving: returns True once this VM drains.
-    :param estimates: the :class:`~mulberrydock.estimates.FleetEstimates`, None to send no
-        estimates and no crashes.
+    :param estimates: the :class:`~mulberrydock.estimates.FleetEstimates`, None to send
+        no estimates and no crashes.
     :param suspects: returns the ids of the instances that this VM suspects at a time.
     :param quarantine: the :class:`~mulberrydock.quarantine.Quarantine`, None to send
         no crashes.
