--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -42,5 +42,6 @@
 
 
 def test_one_fleet_gets_distinct_ports():
+    """Guards against two processes of a fleet with the same port."""
     ports = free_ports(PORTS)
     assert len(set(ports)) == PORTS
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -43,6 +43,8 @@
     ],
 )
 def test_rollout_of_one_engine(held, changes, expected):
+    # Guards against an order to an engine that may still have requests, and against one
+    # that stays cordoned after its change or while it is unreachable.
     rollout = Rollout()
     rollout.cordoned = dict(held)
     views = {} if changes is None else {"a": _view("a", **changes)}
@@ -53,6 +55,8 @@
 
 @pytest.mark.parametrize("engines, most", [(1, 1), (4, 1), (5, 1), (8, 2), (40, 10)])
 def test_rollout_cordons_few_engines_at_a_time(engines, most):
+    # Guards against a rollout that takes too many engines out of service at once, or
+    # that never ends.
     names = [f"e{i}" for i in range(engines)]
     rollout, views, now, rounds = Rollout(), {n: _view(n) for n in names}, 0.0, 0
     while any(v.current_target != NEW for v in views.values()):
@@ -105,6 +109,8 @@
     ],
 )
 def test_mix_roles_through_a_shift(change_weight, steps, expected):
+    # Guards against role changes for a short burst or without a gain, and against none
+    # when the demand has shifted for good.
     planner = MixRoles(1.0, change_weight, settle_seconds=3.0, interval_seconds=10.0)
     seen = [_prefilling(planner, Demand(p, 1.0), now) for now, p in steps]
     assert seen == expected
@@ -135,6 +141,7 @@
 
 @pytest.mark.parametrize("prefill", [0.0, 1.0, 2.0, 4.0, 9.0])
 def test_some_engine_always_decodes(prefill):
+    # Guards against a pool without a decode engine when prefill demand is high.
     planner = MixRoles(1.0, 0.0, settle_seconds=0.0, interval_seconds=0.0)
     for now in (0.0, 1.0, 2.0):
         assert _prefilling(planner, Demand(prefill, 0.0), now) < 5
@@ -153,6 +160,7 @@
 
 
 def test_a_new_controller_keeps_the_roles_that_engines_have():
+    # Guards against role changes only because another controller became the leader.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     views = [_view("a", attrs.evolve(OLD, role="prefill")), _view("b"), _view("c")]
     roles = planner.plan(views, Demand(0.6, 0.5), 0.0)
@@ -160,6 +168,7 @@
 
 
 def test_demand_is_measured_from_counts_and_survives_a_restart():
+    # Guards against a wrong demand when an engine restarts and counts from 0 again.
     meter = DemandMeter()
     rate = ENGINES["engine-1"].prefill_tokens_per_second
     for second, tokens in enumerate([0, rate, 2 * rate, 5, rate + 5]):
