--- a/src/mulberrydock/control.py
+++ b/src/mulberrydock/control.py
@@ -192,7 +192,7 @@
         for view in unfenced:
             if await self.order(view, view.current_target):
                 self.fenced.add((view.name, view.instance))
-        # The fresh ones' order counts have just changed: they follow in the next pass.
+        # The order counts of those have just changed: they follow in the next pass.
         return {v.name: v for v in views.values() if v not in unfenced}
 
     async def reconcile(self, now):
--- a/src/mulberrydock/fleet.py
+++ b/src/mulberrydock/fleet.py
@@ -1,8 +1,9 @@
 """Starts a whole fleet as separate processes on loopback.
 
-Used by the demo command and the integration tests: the store, VM list, engines,
-services, controllers and entries are one process each. This is a harness for a
-single machine; in a real fleet, each VM's service manager starts its daemon.
+Used by the demo command and the integration tests: the store, the VM list, each
+engine, each service, two controllers and each entry are processes of their own.
+This is a harness for a single machine; in a real fleet, each VM's service manager
+starts its daemon.
 """
 
 import fcntl
