--- a/deploy/daemon.py
+++ b/deploy/daemon.py
@@ -1,4 +1,4 @@
-"""Starts the command line from a checkout, with the package under ``src``."""
+"""Runs the command line from a checkout, without installing the package."""
 
 import pathlib
 import sys
--- a/src/mulberrydock/__init__.py
+++ b/src/mulberrydock/__init__.py
@@ -1,7 +1,7 @@
 """mulberrydock: serving for language models and application upstreams on a fixed fleet.
 
-The public API is re-exported here; the daemons in :mod:`mulberrydock.cli`
-are thin functions over it.
+This module exports the public API. The commands in :mod:`mulberrydock.cli` are thin
+functions over it.
 """
 
 from .configuration import ConfigFollower, patch_config, read_config, seed_config
--- a/src/mulberrydock/_serve_model.py
+++ b/src/mulberrydock/_serve_model.py
@@ -7,7 +7,7 @@
 
 @attrs.define(kw_only=True)
 class Listen:
-    """Addresses as host:port, and the ports free for peers."""
+    """Addresses to listen on, as host:port, and the range of ports for peers."""
 
     front: str = attrs.field()
     ready: str = attrs.field()
@@ -18,7 +18,7 @@
 
 @attrs.define(kw_only=True)
 class PlatformStoreSettings:
-    """Where the platform's store answers."""
+    """Address of the platform's store and its shortest lease in seconds."""
 
     address: str = attrs.field()
     least_lease_seconds: float = attrs.field(default=1.0)
@@ -26,7 +26,7 @@
 
 @attrs.define(kw_only=True)
 class Timing:
-    """The users' bounds, in seconds unless the name says otherwise."""
+    """Limits that the platform sets, in seconds unless the name says otherwise."""
 
     contact_seconds: float = attrs.field()
     config_apply_seconds: float = attrs.field()
@@ -41,7 +41,7 @@
 
 @attrs.define(kw_only=True)
 class ServeSettings:
-    """Settings of one entry VM on the users' platform."""
+    """Settings of one entry VM on the hosting platform."""
 
     name: str = attrs.field()
     data_centre: str = attrs.field()
--- a/src/mulberrydock/_settings_model.py
+++ b/src/mulberrydock/_settings_model.py
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class Endpoint:
-    """Address of an outside system."""
+    """Address of an external system."""
 
     address: str = attrs.field()
 
@@ -60,7 +60,7 @@
 
 @attrs.define(kw_only=True)
 class PriorityClass:
-    """A priority class: lower rank goes first; the deadline bounds its wait."""
+    """A priority class; lower ranks are served first, the deadline bounds the wait."""
 
     name: str = attrs.field()
     rank: int = attrs.field()
@@ -77,14 +77,14 @@
 
 @attrs.define(kw_only=True)
 class Routing:
-    """How entries choose an engine."""
+    """How entries choose an engine for a request."""
 
     policy: str = attrs.field(default="ring")
 
 
 @attrs.define(kw_only=True)
 class Roles:
-    """How the roles of engines declared as auto are planned; the weights trade goodput against role changes."""
+    """How roles are planned for engines declared as auto; the weights trade goodput against role changes."""
 
     planner: str = attrs.field(default="static")
     goodput_weight: float = attrs.field(default=1.0)
@@ -114,7 +114,7 @@
 
 @attrs.define(kw_only=True)
 class Settings:
-    """Settings of one deployment: where every process listens and what it serves."""
+    """Settings of one deployment: the address of every process and what it serves."""
 
     deployment: Deployment = attrs.field()
     store: Endpoint = attrs.field()
--- a/src/mulberrydock/cli.py
+++ b/src/mulberrydock/cli.py
@@ -1,8 +1,8 @@
 """The ``mulberrydock`` command line, built with defopt.
 
-Every daemon is a thin function here over the library; ``--settings`` takes
-a TOML file path or the name of an embedded deployment (``lagos`` or
-``montevideo``).
+Every command is a thin function over the library; defopt derives the flags and the
+help texts from the functions. ``--settings`` takes the path of a TOML file or the name
+of an embedded deployment (``lagos`` or ``montevideo``).
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     if value in ("lagos", "montevideo"):
         return parse_settings(default_settings_text(value), f"embedded {value}")
     raise SystemExit(
-        f"settings: no file {value!r} and no embedded deployment of that name"
+        f"settings: {value!r} is neither a file nor an embedded deployment"
     )
 
 
@@ -42,7 +42,7 @@
 
     :param name: the entry's name in the settings, such as ``entry-1``.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
-    :param policy: engine choice in place of the settings' ``routing.policy``.
+    :param policy: policy that chooses an engine, instead of ``routing.policy``.
     """
     from .entry import EntryDaemon
 
@@ -58,11 +58,11 @@
     settings: str = DEFAULT_SETTINGS,
     planner: str = "",
 ):
-    """Run a controller; the one holding the lease sends orders to engines.
+    """Run a controller; the one that holds the lease sends orders to engines.
 
-    :param name: this controller's name, written in the leader record.
+    :param name: this controller's name, written to the leader record.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
-    :param planner: role planner in place of the settings' ``roles.planner``.
+    :param planner: planner of the engines' roles, instead of ``roles.planner``.
     """
     from .control import Controller
 
@@ -73,9 +73,10 @@
 
 
 def serve(*, settings: str = ""):
-    """Run the daemon of one entry VM on the users' platform.
+    """Run the daemon of one entry VM on the hosting platform.
 
-    :param settings: settings file; the platform names it in the environment.
+    :param settings: settings file, by default the one that the environment variable
+        MULBERRYDOCK_SETTINGS names.
     """
     from . import platform
     from .serve import ServeDaemon
@@ -84,7 +85,7 @@
     path = settings or os.environ.get(platform.SETTINGS_VARIABLE, "")
     if not path:
         raise SystemExit(
-            f"serve: name a file with --settings or in {platform.SETTINGS_VARIABLE}"
+            f"serve: no settings file: set --settings or {platform.SETTINGS_VARIABLE}"
         )
     try:
         loaded = load_serve_settings(path)
@@ -99,41 +100,41 @@
 
 
 def config_show(*, settings: str = DEFAULT_SETTINGS):
-    """Print the declared configuration in force and its version number.
+    """Print the active declared configuration and its version number.
 
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     """
     from . import ctl
 
-    _exit(ctl.show(_settings(settings)))
+    _print_and_exit(ctl.show(_settings(settings)))
 
 
 def config_patch(file: str, *, version: int, settings: str = DEFAULT_SETTINGS):
-    """Merge a TOML patch into the configuration at a version number.
+    """Merge a TOML patch into the declared configuration.
 
-    A patch against a version other than the one in force is refused with
-    result code 105 (STALE_VERSION) and changes nothing.
+    A patch against a version other than the active one is refused with result code
+    105 (STALE_VERSION) and changes nothing.
 
     :param file: TOML file with the tables and keys to change.
-    :param version: the version number the patch was written against.
+    :param version: version number that the patch was written against.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     """
     from . import ctl
 
     with open(file, encoding="utf-8") as handle:
         text = handle.read()
-    _exit(ctl.patch(_settings(settings), text, version))
+    _print_and_exit(ctl.patch(_settings(settings), text, version))
 
 
 def vm_drain(name: str, *, settings: str = DEFAULT_SETTINGS):
-    """Declare a VM (engine or entry) leaving; no new work reaches it.
+    """Declare a VM (engine or entry) as leaving, so that it gets no new work.
 
     :param name: the VM's name in the settings.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     """
     from . import ctl
 
-    _exit(ctl.drain(_settings(settings), name))
+    _print_and_exit(ctl.drain(_settings(settings), name))
 
 
 def status(*, settings: str = DEFAULT_SETTINGS):
@@ -143,34 +144,34 @@
     """
     from . import ctl
 
-    _exit(ctl.status(_settings(settings)))
+    _print_and_exit(ctl.status(_settings(settings)))
 
 
-def _exit(result):
+def _print_and_exit(result):
     print(json.dumps(result.document, indent=2))
     sys.exit(0 if result.code == 0 else 1)
 
 
 def store(*, settings: str = DEFAULT_SETTINGS):
-    """Run the fake platform store at the settings' store address.
+    """Run a stand-in of the platform's store on the store address of the settings.
 
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     """
-    from .standin import store as fake_store
+    from .standin import store as store_standin
 
-    _run(fake_store.serve(_settings(settings).store.address))
+    _run(store_standin.serve(_settings(settings).store.address))
 
 
 def engine(name: str, *, settings: str = DEFAULT_SETTINGS):
-    """Run one fake model engine.
+    """Run a stand-in of one model engine.
 
     :param name: the engine's name in the settings.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     """
-    from .standin import engine as fake_engine
+    from .standin import engine as engine_standin
 
     found = next(e for e in _settings(settings).engines if e.name == name)
-    config = fake_engine.EngineConfig(
+    config = engine_standin.EngineConfig(
         name=name,
         checks_fencing=found.checks_fencing,
         batch_size=found.batch_size,
@@ -178,33 +179,33 @@
         decode_tokens_per_second=found.decode_tokens_per_second,
         cache_blocks=found.cache_blocks,
     )
-    _run(fake_engine.serve(found.address, config))
+    _run(engine_standin.serve(found.address, config))
 
 
 def service(name: str, *, settings: str = DEFAULT_SETTINGS, latency: float = 0.01):
-    """Run one fake application service instance.
+    """Run a stand-in of one application service instance.
 
     :param name: the instance's name in the settings.
     :param settings: settings file, or ``lagos`` / ``montevideo``.
-    :param latency: seconds each call takes.
+    :param latency: seconds that each call takes.
     """
-    from .standin import service as fake_service
+    from .standin import service as service_standin
 
     found = next(s for s in _settings(settings).services if s.name == name)
-    _run(fake_service.serve(found.address, name, latency))
+    _run(service_standin.serve(found.address, name, latency))
 
 
 def vmlist(*, settings: str = DEFAULT_SETTINGS, lag: float = 5.0):
-    """Run the fake VM list, showing changes ``lag`` seconds late.
+    """Run a stand-in of the platform's VM list, which shows changes with a lag.
 
     :param settings: settings file, or ``lagos`` / ``montevideo``.
-    :param lag: seconds by which the list trails the truth.
+    :param lag: seconds until a change of a VM's state is shown.
     """
-    from .standin import vmlist as fake_vmlist
+    from .standin import vmlist as vmlist_standin
 
     loaded = _settings(settings)
     names = [e.name for e in loaded.entries] + [e.name for e in loaded.engines]
-    _run(fake_vmlist.serve(loaded.vm_list.address, names, lag))
+    _run(vmlist_standin.serve(loaded.vm_list.address, names, lag))
 
 
 def proxy(listen: str, target: str, control: str):
@@ -212,7 +213,7 @@
 
     :param listen: ``host:port`` to accept on.
     :param target: ``host:port`` to forward to.
-    :param control: ``host:port`` of its ``POST /faults`` control.
+    :param control: ``host:port`` that accepts ``POST /faults``.
     """
     from .standin import faultproxy
 
@@ -227,12 +228,12 @@
     seed: int = 0,
     json_out: str = "",
 ):
-    """Drive the deployment's mix through its entries and report goodput.
+    """Send the deployment's request mix to its entries and report goodput.
 
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     :param seconds: how long to send.
-    :param scale: multiple of the mix's request rates.
-    :param seed: seed of the mix and the callers' choices.
+    :param scale: factor on the request rates of the mix.
+    :param seed: seed of the mix and of the callers' choices.
     :param json_out: also write the report as JSON to this file.
     """
     from . import ctl
@@ -245,11 +246,11 @@
 
 
 def demo(*, deployment: str = "lagos", seconds: float = 10.0, scale: float = 1.0):
-    """Start the local fleet of fakes and daemons, serve a real load, report, stop.
+    """Run a local fleet of stand-ins and daemons under load and report goodput.
 
     :param deployment: ``lagos`` or ``montevideo``.
-    :param seconds: how long the load sends.
-    :param scale: multiple of the mix's request rates.
+    :param seconds: how long to send.
+    :param scale: factor on the request rates of the mix.
     """
     from . import ctl
 
@@ -260,19 +261,18 @@
 
 
 def trace(request: str, *files: str):
-    """Show the log lines of one request, from any number of VMs, and its cause.
+    """Show the log lines of one request, from any number of VMs, and how it ended.
 
     :param request: the request's id.
-    :param files: log files; without any, standard input.
+    :param files: log files of the VMs; standard input when none is given.
     """
     import contextlib
 
-    from .trace import read_lines
-    from .trace import trace as find
+    from .trace import build_trace, read_lines
 
     with contextlib.ExitStack() as stack:
         opened = [stack.enter_context(open(name, encoding="utf-8")) for name in files]
-        found = find(read_lines(opened or [sys.stdin]), request)
+        found = build_trace(read_lines(opened or [sys.stdin]), request)
     print(found.render())
     sys.exit(0 if found.lines else 1)
 
--- a/src/mulberrydock/ctl.py
+++ b/src/mulberrydock/ctl.py
@@ -1,7 +1,7 @@
-"""Operator commands: show and patch the configuration, drain a VM, status.
+"""Operator commands: show and patch the configuration, drain a VM, show the status.
 
-Each returns a :class:`CtlResult` (a result code and a JSON-ready document)
-so the command line only prints it.
+Each returns a :class:`CtlResult` that the command line prints. The module also holds
+the load and demo commands, which return a :class:`LoadReport`.
 """
 
 import asyncio
@@ -20,15 +20,19 @@
 
 @attrs.define
 class CtlResult:
-    """What an operator command did: its result code and a document to print."""
+    """Result of an operator command.
+
+    ``code`` is a :class:`~mulberrydock.exceptions.ResultCode` as a number, 0 on
+    success; ``document`` can be encoded as JSON.
+    """
 
     code: int
     document: dict
 
 
 @attrs.define
-class Report:
-    """A load report: rows per class and the rendered table."""
+class LoadReport:
+    """Result of a load run: one row per class, and the same as a text table."""
 
     rows: list
     table: str
@@ -39,7 +43,7 @@
 
 
 def show(settings):
-    """Return the configuration in force and its version."""
+    """Return the active declared configuration and its version."""
 
     async def go():
         read = await read_config(StoreClient(settings.store.address))
@@ -52,7 +56,12 @@
 
 
 def patch(settings, text, version):
-    """Merge ``text`` into the configuration at ``version``; refuse a stale one."""
+    """Merge a TOML patch into the declared configuration.
+
+    :param text: TOML text of the patch.
+    :param version: version that the patch was written against; the patch is refused
+        when it is no longer the active one.
+    """
 
     async def go():
         written = await patch_config(
@@ -66,7 +75,10 @@
 
 
 def drain(settings, name):
-    """Add ``name`` to the declared leaving VMs, at the version in force."""
+    """Add the VM ``name`` to the declared leaving VMs.
+
+    A concurrent change of the configuration is retried, in all up to 5 times.
+    """
 
     async def go():
         store = StoreClient(settings.store.address)
@@ -92,7 +104,7 @@
 
 
 def status(settings):
-    """Return each entry's health and each engine's state."""
+    """Return each entry's health and each engine's state, or the error of the call."""
 
     async def go():
         from tornado.httpclient import AsyncHTTPClient
@@ -116,12 +128,18 @@
 
 
 def deadlines(settings):
-    """Map class name to its deadline in seconds."""
+    """Return the deadline in seconds of each priority class, by its name."""
     return {c.name: c.deadline_seconds for c in settings.classes}
 
 
 def run_load_report(settings, seconds, scale, seed=0):
-    """Drive the deployment's mix through its entries; return a :class:`Report`."""
+    """Send the deployment's request mix to its entries and measure goodput.
+
+    :param seconds: how long to send.
+    :param scale: factor on the request rates of the mix.
+    :param seed: seed of the mix and of the callers' choices.
+    :returns: a :class:`LoadReport`.
+    """
     seeds = [e.address for e in settings.entries]
     results = asyncio.run(
         run_load(
@@ -129,11 +147,17 @@
         )
     )
     rows = summarise(results)
-    return Report(rows, render_table(rows))
+    return LoadReport(rows, render_table(rows))
 
 
 def demo(settings, settings_path, seconds, scale):
-    """Start the local fleet, serve a load through it, stop it; return the report."""
+    """Start a local fleet, run a load against it and stop it.
+
+    :param settings_path: settings file or deployment name passed to the processes.
+    :param seconds: how long to send.
+    :param scale: factor on the request rates of the mix.
+    :returns: a :class:`LoadReport`.
+    """
     running = fleet.start_fleet(settings, settings_path)
     try:
         fleet.wait_ready(settings)
--- a/src/mulberrydock/defaults.py
+++ b/src/mulberrydock/defaults.py
@@ -1,72 +1,74 @@
-"""Named constants shared by the daemons, the fakes and the tools.
+"""Constants shared by the daemons, the stand-ins and the tools.
 
-Every number here has a unit in its name or its comment; settings override
-the ones that operators may tune.
+Settings override those that operators may tune.
 """
 
-#: Store key holding the declared configuration as TOML text.
+#: Store key of the declared configuration, as TOML text.
 CONFIG_KEY = "config"
-#: Store key held, with a lease attached, by the active controller.
+#: Store key of the leader record, which the active controller holds under its lease.
 LEADER_KEY = "control/leader"
-#: Store key where the active controller names the engines it is changing.
+#: Store key where the active controller lists the engines that it is changing.
 PLAN_KEY = "control/plan"
-#: Prefix of the keys where each entry daemon registers itself.
+#: Prefix of the keys under which entry daemons register themselves.
 ENTRY_PREFIX = "entries/"
 #: Prefix of the idempotency records of non-idempotent calls.
 IDEMPOTENCY_PREFIX = "idempotency/"
-#: Prefix of the records of instances that crashed under a request.
+#: Prefix of the records of instances that crashed while running a request.
 CRASH_PREFIX = "crashes/"
 
-#: Seconds of life of an entry's registration lease.
+#: Time to live of an entry's registration lease.
 ENTRY_LEASE_TTL_SECONDS = 6.0
-#: Seconds a long-poll watch waits at the store before it answers empty.
+#: How long the store lets a long-poll watch wait before it answers without events.
 WATCH_TIMEOUT_SECONDS = 5.0
-#: Seconds to wait before retrying a failed store call.
+#: Delay before a failed store call is retried.
 STORE_RETRY_SECONDS = 0.25
-#: Seconds of one store call before it is abandoned.
+#: Timeout of one store call.
 STORE_CALL_TIMEOUT_SECONDS = 2.0
 
-#: Seconds an upstream may take to accept a connection.
+#: Timeout for connecting to an upstream.
 CONNECT_TIMEOUT_SECONDS = 1.0
-#: Seconds with no byte from a streaming upstream before it is called silent.
+#: Timeout between two bytes of a streaming upstream.
 STREAM_IDLE_TIMEOUT_SECONDS = 3.0
-#: Seconds a whole (non-streaming) upstream answer may take.
+#: Timeout of a whole (non-streaming) upstream answer.
 REQUEST_TIMEOUT_SECONDS = 60.0
-#: Seconds a draining entry keeps answering before it stops the listener.
+#: Minimum time for which a draining entry keeps its listener open and refuses new
+#: requests with DRAINING.
 DRAIN_GRACE_SECONDS = 2.0
-#: Seconds between two reads of an engine's load report by an entry.
+#: Interval at which an entry polls an engine's load report.
 LOAD_POLL_SECONDS = 0.5
-#: Seconds between two reads of an engine's cache events by an entry.
+#: Interval at which an entry polls an engine's cache events.
 CACHE_POLL_SECONDS = 0.5
-#: Seconds told to a caller (Retry-After) when a request was shed.
+#: Value of Retry-After in the answer to a request that was shed.
 RETRY_AFTER_SECONDS = 1
 
 #: HTTP header naming the tenant of a request.
 TENANT_HEADER = "X-Tenant"
 #: HTTP header naming the priority class of a request.
 CLASS_HEADER = "X-Priority-Class"
-#: HTTP header carrying the request id the entry assigned.
+#: HTTP header with the request id that the entry assigned.
 REQUEST_ID_HEADER = "X-Request-Id"
-#: HTTP header carrying the caller's idempotency key.
+#: HTTP header with the caller's idempotency key.
 IDEMPOTENCY_HEADER = "Idempotency-Key"
-#: HTTP header carrying the numbered result code of an answer.
+#: HTTP header with the numbered result code of an answer.
 RESULT_HEADER = "X-Result-Code"
-#: HTTP header to an engine: the class rank, lower served first.
+#: HTTP header to an engine: rank of the priority class; lower ranks are served first.
 RANK_HEADER = "X-Priority-Rank"
-#: HTTP header to an engine: events already delivered, to resume after them.
+#: HTTP header to an engine: number of events already delivered; the stream resumes
+#: after them.
 RESUME_HEADER = "X-Resume-From"
-#: HTTP header to an engine: ``prefill`` for a call that only prefills.
+#: HTTP header to an engine: ``prefill`` for a prefill-only call.
 STAGE_HEADER = "X-Engine-Stage"
 #: HTTP header to an engine: ``address/handle`` of the KV cache to fetch.
 KV_SOURCE_HEADER = "X-KV-Source"
-#: HTTP header of an engine's refusal: the request did not run there.
+#: HTTP header of an engine's refusal: the engine did not execute the request.
 NOT_EXECUTED_HEADER = "X-Not-Executed"
-#: Tenant used when a request names none.
+#: Tenant of a request that names none.
 DEFAULT_TENANT = "default"
 
 #: Prompt tokens per block of the engines' prefix cache.
 CACHE_BLOCK_TOKENS = 16
-#: Slow-down of a decode step when an engine's batch is full, as a fraction.
+#: Additional duration of a decode step when an engine's batch is full, as a fraction of
+#: the step of an empty batch.
 FULL_BATCH_SLOWDOWN = 0.5
-#: Prefill speed of an engine whose role is decode, as a share.
+#: Prefill speed of an engine with the decode role, as a fraction of its full speed.
 DECODE_ROLE_PREFILL_SPEED = 0.5
--- a/src/mulberrydock/exceptions.py
+++ b/src/mulberrydock/exceptions.py
@@ -1,18 +1,18 @@
-"""Result codes and the one error hierarchy of mulberrydock.
+"""Result codes and exceptions of mulberrydock.
 
 Every failure that crosses a process boundary carries a :class:`ResultCode`;
-the table in ``docs/result-codes.md`` lists them all.
+``docs/result-codes.md`` describes them all.
 """
 
 import enum
 
 
 class ResultCode(enum.IntEnum):
-    """Numbered outcome of an operation, sent in ``X-Result-Code``.
+    """Numbered outcome of an operation, sent in the header ``X-Result-Code``.
 
-    Codes below 100 are successes, 1xx the caller's mistakes, 2xx refusals
-    that are safe to retry later, 3xx failures whose outcome is known not to
-    have run, 4xx failures whose outcome is unknown.
+    Codes below 100 are successes, 1xx errors of the caller, 2xx refusals that are
+    safe to retry later, 3xx failures of operations that are known not to have run, 4xx
+    failures with an unknown outcome.
     """
 
     OK = 0
@@ -41,10 +41,10 @@
 
 
 class MulberrydockError(Exception):
-    """Base of every error raised by this package.
+    """Base class of the errors that this package raises.
 
-    :param code: the numbered result code.
-    :param message: a sentence for operators.
+    :param message: description for operators.
+    :param code: the :class:`ResultCode`, by default that of the class.
     """
 
     code = ResultCode.BAD_REQUEST
@@ -60,7 +60,7 @@
 
 
 class SettingsError(MulberrydockError):
-    """A settings file or declared configuration failed its schema check."""
+    """A settings file, a configuration or a store document is invalid."""
 
     code = ResultCode.INVALID_SETTINGS
 
@@ -72,9 +72,9 @@
 
 
 class VersionConflict(StoreError):
-    """A compare-and-swap met a version other than the one expected.
+    """A compare-and-swap found a version other than the expected one.
 
-    :param current: the version the store holds, 0 when the key is absent.
+    :param current: the version in the store, 0 when the key is absent.
     """
 
     code = ResultCode.STALE_VERSION
@@ -85,14 +85,17 @@
 
 
 class UpstreamError(MulberrydockError):
-    """An engine or application service failed to answer."""
+    """An engine or application service failed to answer, or answered invalidly."""
 
     code = ResultCode.UPSTREAM_FAILED
 
 
 class ConnectionCut(UpstreamError):
-    """The connection ended before the answer did, as when an instance crashes."""
+    """The connection closed before the answer was complete.
+
+    This is what an instance that crashes looks like to its caller.
+    """
 
 
 class CallRefused(UpstreamError):
-    """An engine answered that it doesn't take a call."""
+    """An engine refused to execute a call."""
--- a/src/mulberrydock/log.py
+++ b/src/mulberrydock/log.py
@@ -1,7 +1,7 @@
-"""Structured logs: one JSON object a line on standard output.
+"""Structured logs: one JSON object per line on standard output.
 
-The volume is bounded by lines a second, and a reader that doesn't keep up
-loses lines instead of stopping the process: a full pipe never blocks.
+The number of lines per second is bounded, and writing never blocks: when the reader
+doesn't keep up and the pipe is full, lines are dropped so that the process goes on.
 """
 
 import datetime
@@ -14,16 +14,20 @@
 import attrs
 from loguru import logger
 
-#: Lines a second over a second's burst; a VM at five times its usual load
-#: writes about a hundred.
+#: Lines written in one second at most; a VM at five times its usual load writes
+#: about 100.
 MAX_LINES_PER_SECOND = 300
-#: Lines of warning level and above are kept beyond that, up to this many.
-WARNINGS_PER_SECOND = 600
+#: Beyond that, lines of level warning and above are written up to this total.
+MAX_LINES_PER_SECOND_WITH_WARNINGS = 600
 
 
 @attrs.define
 class LineSink:
-    """Writes log lines to a descriptor without blocking; counts what it drops."""
+    """Writes log lines to a file descriptor without blocking.
+
+    ``dropped`` counts the lines that were not written, or only in part. ``lines``
+    counts those offered during ``second``, a second of the monotonic clock.
+    """
 
     descriptor: int
     dropped: int = 0
@@ -31,7 +35,7 @@
     lines: int = 0
 
     def write(self, message):
-        """Write one loguru message unless over the bound or the pipe is full."""
+        """Write a loguru message, or drop it over the rate bound or on a full pipe."""
         record = message.record
         if not self._admit(record["level"].no, time.monotonic()):
             self.dropped += 1
@@ -43,7 +47,7 @@
             self.dropped += 1
             return
         except OSError:
-            # The reader is gone; the process goes on without its log.
+            # The reader has closed the pipe; the process goes on without a log.
             self.dropped += 1
             return
         if written < len(line):
@@ -54,10 +58,10 @@
             self.second = int(now)
             self.lines = 0
         self.lines += 1
-        bound = MAX_LINES_PER_SECOND
+        max_lines = MAX_LINES_PER_SECOND
         if level >= logging.WARNING:
-            bound = WARNINGS_PER_SECOND
-        return self.lines <= bound
+            max_lines = MAX_LINES_PER_SECOND_WITH_WARNINGS
+        return self.lines <= max_lines
 
 
 def _render(record):
@@ -73,17 +77,21 @@
     return json.dumps(fields, default=str, separators=(",", ":")) + "\n"
 
 
-class _ToLoguru(logging.Handler):
-    """Passes the libraries' own log records on as JSON lines."""
+class _LoguruHandler(logging.Handler):
+    """Forwards the log records of libraries to loguru, as JSON lines."""
 
     def emit(self, record):
         logger.log(record.levelname, record.getMessage(), logger=record.name)
 
 
 def configure(process, level="INFO", stream=None):
-    """Send logs as JSON lines to ``stream`` (standard output by default).
+    """Configure logging as JSON lines for this process.
 
-    :param process: name bound to every line (``entry-1``).
+    :param process: value of the field ``process`` of every line, such as ``entry-1``.
+    :param level: lowest level that is written, for the project's own lines; those of
+        libraries are written from warning level.
+    :param stream: where to write, standard output by default. A pipe or file is made
+        non-blocking.
     :returns: the :class:`LineSink`, which counts dropped lines.
     """
     descriptor = (stream or sys.stdout).fileno()
@@ -93,5 +101,5 @@
     logger.remove()
     logger.add(sink.write, level=level, format="{message}", catch=False)
     logger.configure(extra={"process": process})
-    logging.basicConfig(handlers=[_ToLoguru()], level=logging.WARNING, force=True)
+    logging.basicConfig(handlers=[_LoguruHandler()], level=logging.WARNING, force=True)
     return sink
--- a/src/mulberrydock/metrics.py
+++ b/src/mulberrydock/metrics.py
@@ -1,19 +1,27 @@
-"""Prometheus metrics of the entry daemon, with histograms per tenant and class."""
+"""Prometheus metrics of the entry daemons.
+
+:class:`EntryMetrics` has histograms per tenant and class, :class:`ServeMetrics` those
+of an entry VM on the hosting platform.
+"""
 
 import prometheus_client
 
-#: Latency buckets in seconds, from a status lookup to a long letter.
+#: Bounds of the latency buckets in seconds, from a status lookup to a long letter.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32, 64)
 
 
-#: Tenants with series of their own; the users plan for 560.
+#: Bound on the number of tenants with time series of their own; 560 tenants are
+#: expected.
 MAX_TENANT_LABELS = 1000
-#: Label of the tenants beyond those.
+#: Tenant label that all further tenants share.
 OTHER_TENANTS_LABEL = "other"
 
 
 class EntryMetrics:
-    """The entry's metrics in their own registry, so tests can run several."""
+    """Metrics of the entry daemon.
+
+    They have a registry of their own, so that several daemons can run in one process.
+    """
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -50,10 +58,10 @@
         )
 
     def tenant_label(self, tenant):
-        """Return ``tenant``, or ``other`` once too many have been seen.
+        """Return the label for ``tenant``, :data:`OTHER_TENANTS_LABEL` beyond the bound.
 
-        Callers name their tenant in a header: without a bound, made-up names
-        would fill the entry's memory with series.
+        Callers name their tenant in a header: without a bound, invented names would
+        fill the daemon's memory with time series.
         """
         if tenant not in self.tenants:
             if len(self.tenants) >= MAX_TENANT_LABELS:
@@ -62,20 +70,20 @@
         return tenant
 
     def render(self):
-        """Return the text exposition format and its content type."""
+        """Return the metrics in the text exposition format, and its content type."""
         return (
             prometheus_client.generate_latest(self.registry),
             prometheus_client.CONTENT_TYPE_LATEST,
         )
 
 
-#: Bounds of the ratio of a real wait to its estimate: a quarter off, a factor of
-#: two, and worse, on either side.
+#: Bucket bounds of the ratio of an actual wait to its estimate: about a quarter off, a
+#: factor of two, and worse, on either side.
 WAIT_RATIO_BUCKETS = (0.25, 0.5, 0.8, 1.25, 2.0, 4.0, 8.0)
 
 
 class ServeMetrics:
-    """Metrics of one entry VM on the platform, in their own registry."""
+    """Metrics of one entry VM on the hosting platform, in a registry of their own."""
 
     def __init__(self):
         self.registry = prometheus_client.CollectorRegistry()
@@ -123,5 +131,5 @@
         )
 
     def render(self):
-        """Return the text exposition format."""
+        """Return the metrics in the text exposition format."""
         return prometheus_client.generate_latest(self.registry)
--- a/src/mulberrydock/platform/__init__.py
+++ b/src/mulberrydock/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The adapter to the users' platform: names, formats and calls.
+"""Adapter to the hosting platform: its header names, documents and store calls.
 
-Nothing here decides anything; nothing outside this package knows a name of
-the platform.
+This package only encodes and decodes. Decisions are made elsewhere, and no
+module outside the package depends on a name of the platform.
 """
 
 from .documents import (
@@ -16,10 +16,10 @@
 
 #: Environment variable that holds the path of the settings file.
 SETTINGS_VARIABLE = "MULBERRYDOCK_SETTINGS"
-#: Paths that the platform and clients call on an entry VM.
+#: Paths of an entry VM that the platform (readiness) and clients (resolution) call.
 READY_PATH = "/ready"
 RESOLVE_PATH = "/resolve"
-#: Query argument of a client's call that names its data centre.
+#: Query argument of a resolve call that names the client's data centre.
 RESOLVE_DATA_CENTRE = "zone"
 
 __all__ = [
--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the documents that the operator and the instances keep in the store."""
+"""Decodes the documents that the operator and the instances write to the store."""
 
 import ipaddress
 import json
@@ -7,27 +7,29 @@
 from ..instances import EngineReport, InstanceRecord, Stage
 from ..request import Kind, RequestLimits, Route, RoutingConfig, ServiceSpec, Split
 
-#: Prefix of the operator's configuration; the whole of it is one key.
+#: Prefix watched for the operator's configuration, which is a single key.
 CONFIG_PREFIX = "op/"
 CONFIG_KEY = "op/config"
-#: Prefix of the records that engines and services keep of themselves.
+#: Prefix of the records with which engines and services register themselves.
 INSTANCE_PREFIX = "servers/"
 
-#: Seconds without an event for which a client keeps a stream at least.
-LEAST_PATIENCE_SECONDS = 2.0
-#: The platform's words for an instance that takes work, and for one that leaves
-#: after a planned notice.
+#: Lower bound of a client's idle timeout: no client abandons a stream earlier.
+MIN_CLIENT_IDLE_TIMEOUT_SECONDS = 2.0
+#: ``state`` of an instance that takes work, and of one that announced its departure.
 READY = "ready"
 DRAINING = "draining"
-#: What decoding raises for a document that isn't what it should be; too deep a
-#: nesting ends the parser's recursion.
-UNREADABLE = (ValueError, KeyError, TypeError, RecursionError)
+#: Raised while decoding a malformed document; RecursionError by JSON that is nested
+#: too deeply for the parser.
+DECODE_ERRORS = (ValueError, KeyError, TypeError, RecursionError)
 
 
 def read_config(key, text):
-    """Return the :class:`RoutingConfig` in ``text``, None for another key.
+    """Decode the operator's configuration.
 
-    :raises SettingsError: when the document lacks a field.
+    :param key: store key that ``text`` was read from.
+    :returns: a :class:`RoutingConfig`, or None when ``key`` is another key.
+    :raises SettingsError: when the document isn't JSON, lacks a field or has a value
+        of the wrong type.
     """
     if key != CONFIG_KEY:
         return None
@@ -40,8 +42,8 @@
             services=services,
             limits=_limits(document.get("limits") or {}),
         )
-    except (AttributeError, *UNREADABLE) as error:
-        raise SettingsError(f"{key}: {error!r}") from error
+    except (AttributeError, *DECODE_ERRORS) as error:
+        raise SettingsError(f"{key}: invalid configuration: {error!r}") from error
 
 
 def _route(row):
@@ -56,8 +58,10 @@
         timeout=row["timeout_ms"] / 1000,
         latency_objective=objective,
         gap_objective=gap,
-        # No field of its own: clients derive it from the two objectives.
-        client_idle_timeout=max(LEAST_PATIENCE_SECONDS, 4 * objective, 8 * gap),
+        # The document has no field for it: clients derive it from the objectives.
+        client_idle_timeout=max(
+            MIN_CLIENT_IDLE_TIMEOUT_SECONDS, 4 * objective, 8 * gap
+        ),
         priority=int(row.get("priority", 0)),
         max_attempts=int(row.get("max_attempts", 1)),
         resumable=bool(row.get("resumable", False)),
@@ -65,7 +69,7 @@
 
 
 def _splits(row):
-    # A route names either one service or a weighted list of them.
+    # A route names either one service or a list of services with weights.
     if row.get("traffic_split"):
         return tuple(
             Split(part["service"], float(part["weight"]))
@@ -96,17 +100,17 @@
 
 
 def instance_id(key):
-    """Return the instance id in a record's key."""
+    """Return the instance id in the store key of an instance's record."""
     return key.removeprefix(INSTANCE_PREFIX)
 
 
 def read_instance(key, text):
-    """Return the :class:`InstanceRecord` in ``text``.
+    """Decode the record of an instance into an :class:`InstanceRecord`.
 
-    Anyone may write under the prefix, so every field that decides where a
-    request goes is checked; the others don't matter.
+    Anyone may write under :data:`INSTANCE_PREFIX`, so every field that decides
+    where a request goes is validated; other fields are ignored.
 
-    :raises SettingsError: when the document is no instance's.
+    :raises SettingsError: when the document isn't a valid instance record.
     """
     try:
         row = _document(text)
@@ -114,63 +118,63 @@
             id=_text(instance_id(key), "id"),
             service=_text(row["service"], "service"),
             address=_address(row["address"]),
-            # The platform's zone is a data centre.
+            # The platform calls a data centre a zone.
             data_centre=_text(row["zone"], "zone"),
             slots=_count(row["slots"], "slots"),
             draining=_draining(row["state"]),
             stage=_stage(row.get("stage")),
             started_at_ms=_born(row),
         )
-    except UNREADABLE as error:
-        raise SettingsError(f"{key}: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise SettingsError(f"{key}: invalid instance record: {error!r}") from error
 
 
 def read_report(body):
-    """Return the :class:`EngineReport` in an engine's answer.
+    """Decode an engine's report on itself into an :class:`EngineReport`.
 
-    :raises UpstreamError: when the body isn't such an answer.
+    :raises UpstreamError: when the body isn't a valid report.
     """
     try:
         row = _document(body)
         return EngineReport(
             _stage(row["stage"]),
             _flag(row["busy"]),
-            # Here "sequence" counts accepted orders; in an instance's record
-            # the same name counts its heartbeats.
+            # In a report "sequence" counts accepted orders; in an instance record
+            # the field of the same name counts heartbeats.
             _count(row["sequence"], "sequence"),
             _born(row),
         )
-    except UNREADABLE as error:
-        raise UpstreamError(f"engine report: {error!r}") from error
+    except DECODE_ERRORS as error:
+        raise UpstreamError(f"invalid engine report: {error!r}") from error
 
 
 def _document(text):
-    # Bytes that were no UTF-8 come as lone surrogates, see the store's client;
-    # they may stand in a name that otherwise looks sound.
+    # The store client decodes bytes that aren't UTF-8 to lone surrogates, which
+    # could otherwise pass as part of a valid name; encoding raises for them.
     if isinstance(text, str):
         text.encode()
     row = json.loads(text)
     if not isinstance(row, dict):
-        raise TypeError(f"{type(row).__name__} instead of an object")
+        raise TypeError(f"expected a JSON object, got {type(row).__name__}")
     return row
 
 
 def _text(value, name):
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{name} is {value!r:.40}")
+        raise TypeError(f"{name}: expected a non-empty string, got {value!r:.40}")
     return value
 
 
 def _flag(value):
     if not isinstance(value, bool):
-        raise TypeError(f"flag is {value!r:.40}")
+        raise TypeError(f"expected a boolean, got {value!r:.40}")
     return value
 
 
 def _count(value, name):
-    # JSON's true and false would pass as numbers.
+    # Not isinstance: bool is a subclass of int.
     if type(value) is not int or value < 0:
-        raise TypeError(f"{name} is {value!r:.40}")
+        raise TypeError(f"{name}: expected a count, got {value!r:.40}")
     return value
 
 
@@ -178,20 +182,20 @@
     host, _, port = _text(value, "address").rpartition(":")
     ipaddress.IPv4Address(host)
     if not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"address is {value!r:.40}")
+        raise ValueError(f"address: expected IPv4:port, got {value!r:.40}")
     return value
 
 
-def _draining(word):
-    if word not in (READY, DRAINING):
-        raise ValueError(f"state is {word!r:.40}")
-    return word == DRAINING
+def _draining(state):
+    if state not in (READY, DRAINING):
+        raise ValueError(f"state: expected ready or draining, got {state!r:.40}")
+    return state == DRAINING
 
 
-def _stage(word):
-    if word is None:
+def _stage(value):
+    if value is None:
         return Stage.NONE
-    return Stage(word)
+    return Stage(value)
 
 
 def _born(row):
--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -1,7 +1,8 @@
-"""The platform's key-value store, with the calls of :class:`StoreClient`.
+"""Client of the platform's key-value store.
 
-Every call returns an :class:`expression.Result` as the product's own client
-does, so that watches, leases and membership run over either.
+It has the same calls as :class:`~mulberrydock.store.StoreClient`, and like it returns
+an :class:`expression.Result`, so that watches, leases and membership work with either
+client.
 """
 
 import asyncio
@@ -16,27 +17,34 @@
 from ..exceptions import StoreError, UpstreamError, VersionConflict
 from ..store import Event, Item, WatchBatch
 
-#: Seconds of one call; the store answers in 4 ms, and the configuration must
-#: be in force within 2 s, so a lost answer has to show well before.
+#: Timeout of one call. The store answers in 4 ms; a changed configuration must be in
+#: force within 2 s, so a lost answer must be detected well before that.
 CALL_TIMEOUT_SECONDS = 0.7
-#: Connections: one a waiting watch and a few for calls.
-CONNECTION_LIMIT = 16
-#: Names how often the store has come back from an older copy of itself.
+#: Connections to the store: one for each pending watch and a few for other calls.
+MAX_CONNECTIONS = 16
+#: Header with the store's era: how many times the store was restored from an older
+#: copy of its data.
 STORE_ERA = "Store-Era"
 
 
 class PlatformStore:
-    """Calls to the store at ``address`` over kept connections.
+    """Client of one store, over persistent connections.
 
-    ``on_answer`` is called after each call with True when the store answered it,
-    ``on_era_change`` when an answer is the first from a store that came back from an older
-    copy. ``era`` counts these copies.
+    Attributes that an owner may set or read:
+
+    - ``on_answer``: called after each call, with True when the store answered it.
+    - ``on_era_change``: called when an answer shows a higher era than the last known one,
+      that is after the store was restored from an older copy.
+    - ``era``: the highest era seen, None before the first answer.
+
+    :param address: ``host:port`` of the store.
+    :param timeout: seconds of one call.
     """
 
     def __init__(self, address, timeout=CALL_TIMEOUT_SECONDS):
         self.address = address
         self.timeout = timeout
-        self.pool = ConnectionPool(address, CONNECTION_LIMIT)
+        self.pool = ConnectionPool(address, MAX_CONNECTIONS)
         self.on_answer = lambda answered: None
         self.on_era_change = lambda: None
         self.era = None
@@ -62,8 +70,12 @@
             )
         except (UpstreamError, asyncio.TimeoutError) as error:
             return Error(StoreError(f"{method} {path}: {error!r}"))
-        if not self._note_era(answer.headers):
-            return Error(StoreError(f"{method} {path}: answer of a lost copy"))
+        if not self._update_era(answer.headers):
+            return Error(
+                StoreError(
+                    f"{method} {path}: answer from a store era before {self.era}"
+                )
+            )
         if answer.status in (429, 500, 502, 503, 504):
             return Error(StoreError(f"{method} {path}: status {answer.status}"))
         try:
@@ -71,8 +83,12 @@
         except ValueError as error:
             return Error(StoreError(f"{method} {path}: {error}"))
 
-    def _note_era(self, headers):
-        """Learn the era of an answer; False when the store has lost it since."""
+    def _update_era(self, headers):
+        """Update the known era from an answer's headers.
+
+        :returns: False when the answer is of an earlier era, whose data the store no
+            longer has.
+        """
         text = headers.get(STORE_ERA, "")
         era = int(text) if text.isdecimal() else 0
         known, self.era = self.era, max(era, self.era or 0)
@@ -91,8 +107,8 @@
     async def range(self, prefix):
         """Read every key under ``prefix``: ``Ok((revision, [Item]))``.
 
-        Pages are no snapshot: the revision is that of the first page, so a
-        watch from there repeats a change rather than missing one.
+        The store may return several pages, which aren't one snapshot. The revision is
+        that of the first page: a watch from there may repeat a change but misses none.
         """
         items, revision, after = [], None, None
         while True:
@@ -117,12 +133,13 @@
         return await self._change(key, expect_version, puts=[row])
 
     async def delete(self, key, expect_version=None):
-        """Delete ``key``, optionally only at ``expect_version``."""
+        """Delete ``key``, with ``expect_version`` only if it is at that version."""
         return await self._change(key, expect_version, remove=[key])
 
     async def write_all(self, values, removals):
-        """Write ``values`` by key and delete ``removals``, in one call.
+        """Write ``values`` and delete the keys ``removals`` in one transaction.
 
+        :param values: text by key.
         :returns: ``Ok(revision)``, or ``Error(StoreError)``.
         """
         puts = [
@@ -149,7 +166,12 @@
         return Ok(document["revision"])
 
     async def watch(self, prefix, after, timeout):
-        """Long-poll for changes under ``prefix`` newer than revision ``after``."""
+        """Long-poll for changes under ``prefix`` newer than revision ``after``.
+
+        :param timeout: seconds that the store may wait for a change.
+        :returns: ``Ok(WatchBatch)``, with ``compacted`` set when the store no longer
+            has the changes since ``after``.
+        """
         query = {
             "path_prefix": prefix,
             "after": after,
@@ -194,9 +216,9 @@
 
 
 def _decode(text):
-    # Others write to the store too. Bytes that are no UTF-8 become lone
-    # surrogates, which no reader of a document accepts: raised here, the error
-    # would end the watch that brings everything else.
+    # Other programs write to the store too. Bytes that aren't UTF-8 are decoded to lone
+    # surrogates, which every decoder of a document refuses. An error raised here would
+    # end the watch, and with it all other updates.
     return base64.b64decode(text).decode(errors="surrogateescape")
 
 
@@ -205,7 +227,7 @@
         key=row["key"],
         value=_decode(row["value"]),
         version=row["revision"],
-        # Named "created", yet a revision, not a time.
+        # ``created`` is a revision, not a time.
         create_revision=row.get("created", 0),
         lease=row.get("lease", 0),
     )
--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers and bodies of the platform's clients and engines."""
+"""Headers and bodies exchanged with the platform's clients and engines."""
 
 import json
 import math
@@ -31,7 +31,8 @@
 STAGE = "X-Mulberrydock-Stage"
 TOKEN_COUNTS = "X-Mulberrydock-Token-Counts"
 
-#: Set by the system alone; a client's value would steer an engine.
+#: Removed from client requests: only this system may set them, since a client's
+#: value would change how an engine handles the request.
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -53,7 +54,7 @@
         "Wait-Ms",
     )
 )
-#: Headers that concern one connection only (RFC 9110, 7.6.1), and framing.
+#: Hop-by-hop headers (RFC 9110, section 7.6.1) and message framing; not forwarded.
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -70,19 +71,19 @@
         "upgrade",
     )
 )
-#: Headers without which a request isn't the client's any more; a client may
-#: not take them away by naming them in ``Connection``.
-END_TO_END = frozenset(
+#: Headers that identify a request and its prompt. They are forwarded even when the
+#: client lists them in ``Connection``.
+REQUIRED_HEADERS = frozenset(
     name.lower()
     for name in (ATTEMPT_ID, PROMPT_PREFIX, TOKEN_COUNTS, "X-Mulberrydock-Model")
 )
 
-#: Milliseconds when a client names no deadline.
+#: Deadline of a request that states none, in milliseconds after its arrival.
 DEFAULT_DEADLINE_MS = 60_000
 
 
 class PlatformWire(Wire):
-    """The platform's header names, over :class:`~mulberrydock.ports.Wire`."""
+    """Implements :class:`~mulberrydock.ports.Wire` for the platform's headers."""
 
     def read_request(self, start_line, headers, body, now):
         return Request(
@@ -126,11 +127,14 @@
             not_executed=NOT_EXECUTED in headers,
             keep_alive_seconds=_keep_alive(headers),
             closing="close" in headers.get("Connection", "").lower(),
-            limit=_limit(headers),
+            limit=_rate_limit(headers),
         )
 
     def response_headers(self, headers):
-        """Return an upstream's end-to-end headers as (name, value) pairs."""
+        """Return the end-to-end headers of an upstream's answer.
+
+        :returns: a list of (name, value) pairs.
+        """
         return _end_to_end(headers, frozenset())
 
     def read_handle(self, address, body):
@@ -138,7 +142,9 @@
             document = json.loads(body)
             return KvHandle(address, document["kv_handle"], int(document["tokens"]))
         except (ValueError, KeyError, TypeError) as error:
-            raise UpstreamError(f"prefill answer: {error!r}") from error
+            raise UpstreamError(
+                f"unreadable prefill answer from {address}: {error!r}"
+            ) from error
 
     def release_call(self, handle):
         return UpstreamCall(
@@ -174,9 +180,9 @@
 
 
 def _end_to_end(headers, dropped):
-    # A sender names further headers of its own connection in Connection.
+    # ``Connection`` lists further hop-by-hop headers of the sender.
     named = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
-    named -= END_TO_END
+    named -= REQUIRED_HEADERS
     return [
         (name, value)
         for name, value in headers.get_all()
@@ -201,7 +207,7 @@
     return None
 
 
-def _limit(headers):
+def _rate_limit(headers):
     rate = _number(headers.get(SERVER_LIMIT), math.nan)
     return rate if math.isfinite(rate) else None
 
@@ -223,5 +229,9 @@
 
 
 def resolve_body(addresses, ttl_seconds):
-    """Return the body that tells a client which addresses to use."""
+    """Return the JSON body of a resolve answer.
+
+    :param addresses: ``host:port`` of the entry VMs that the client may use.
+    :param ttl_seconds: seconds for which the client may cache the answer.
+    """
     return json.dumps({"addresses": addresses, "ttl_s": ttl_seconds}).encode()
--- a/src/mulberrydock/schema/messages.capnp
+++ b/src/mulberrydock/schema/messages.capnp
@@ -1,114 +1,117 @@
 @0xc1a3f4e2b7d90a15;
-# Messages that mulberrydock's own processes exchange through the platform
-# store. pycapnp loads this schema at run time, so no generator is needed.
+# Records that mulberrydock's processes keep in the platform store, and the message
+# that entry VMs send to each other. pycapnp loads this schema at run time, so no code
+# is generated from it.
 
 struct EntryRecord {
-  # An entry daemon's registration, kept alive by its lease.
+  # Registration of an entry daemon, attached to its lease.
   name @0 :Text;
   address @1 :Text;
   dataCentre @2 :Text;
   leaving @3 :Bool;
-  startedAt @4 :Float64;   # wall-clock seconds since the epoch
-  peerAddress @5 :Text;    # where it takes its peers' datagrams, empty if nowhere
+  startedAt @4 :Float64;   # Unix time in seconds
+  peerAddress @5 :Text;    # host:port for datagrams from its peers, empty when none
 }
 
 struct LeaderRecord {
-  # Held under the controller's lease; its store version is the fencing token.
+  # Written under the leader's lease; its store version is the fencing token.
   holder @0 :Text;
   acquiredAt @1 :Float64;
 }
 
 struct IdempotencyRecord {
-  # Written by compare-and-swap before a non-idempotent call, then completed.
+  # Written by compare-and-swap before a non-idempotent call and completed after it.
   enum State {
     started @0;
     done @1;
     notRun @2;
   }
   owner @0 :Text;          # entry daemon that made the call
-  attempt @1 :Text;        # nonce of the attempt, to recognise a lost answer
+  attempt @1 :Text;        # nonce of the attempt: identifies the writer's own record
+                           # when the store's answer to the write was lost
   state @2 :State;
   status @3 :UInt16;       # HTTP status of the stored answer
-  body @4 :Data;           # the stored answer
-  createdAt @5 :Float64;
+  body @4 :Data;           # body of the stored answer
+  createdAt @5 :Float64;   # Unix time in seconds
 }
 
 struct PlanRecord {
-  # Kept at control/plan by the active controller: what it is changing now.
+  # Written to control/plan by the active controller: the engines it is changing.
   holder @0 :Text;
-  held @1 :List(Text);     # engines that must get no new work
+  held @1 :List(Text);     # cordoned engines, which must get no new work
 }
 
 struct LoadRecord {
-  # Unfinished work of one entry VM at one upstream instance.
+  # Unfinished work that one entry VM has sent to one upstream instance.
   instance @0 :Text;
-  running @1 :UInt32;
-  prefill @2 :List(UInt32);  # tokens not yet read, the most urgent first
-  longest @3 :UInt32;        # tokens of the longest unread prompt
+  running @1 :UInt32;        # requests
+  prefill @2 :List(UInt32);  # tokens not yet prefilled, by priority, most urgent first
+  longest @3 :UInt32;        # tokens of the longest prompt not yet prefilled
 }
 
 struct ReadRecord {
-  # Parts of prompts that one engine read for one entry VM, in order.
+  # Prompt parts that one engine prefilled for one entry VM, in order.
   instance @0 :Text;
-  keys @1 :List(UInt32);     # short names of the parts
+  keys @1 :List(UInt32);     # CRC-32 of the parts' ids
   tokens @2 :List(UInt32);   # their lengths
 }
 
 struct SampleRecord {
-  # One prompt that an engine read without a queue before it.
+  # Duration of one prefill that found no queue at its engine.
   service @0 :Text;
-  tokens @1 :UInt32;       # that were read
-  cached @2 :UInt32;       # that stood before them
+  tokens @1 :UInt32;       # prompt tokens that were prefilled
+  cached @2 :UInt32;       # tokens before them that were in the engine's KV cache
   seconds @3 :Float32;     # from the call to its answer
 }
 
 struct PoolRecord {
-  # What one entry VM learnt of one service.
+  # One entry VM's estimates for one service: demand per second, and the fitted cost of
+  # a prefill in seconds.
   service @0 :Text;
-  reading @1 :Float32;     # demand a second: work of reading, in tokens
-  moved @2 :Float32;       # tokens whose KV cache is handed over
-  streams @3 :Float32;     # requests
-  overhead @4 :Float64;    # fitted seconds of one prefill
-  token @5 :Float64;       # and for each token, 0 while nothing is fitted
-  pair @6 :Float64;        # and for each pair of tokens
-  apart @7 :Float32;       # work sent to prefill engines a second, in tokens
-  inPlace @8 :Float32;     # work sent to decode engines a second
+  reading @1 :Float32;     # demand per second: prefill work, in tokens
+  moved @2 :Float32;       # demand per second: tokens whose KV cache is transferred
+  streams @3 :Float32;     # demand per second: requests
+  overhead @4 :Float64;    # cost of each prefill
+  token @5 :Float64;       # additional cost of each token, 0 until a fit exists
+  pair @6 :Float64;        # additional cost of each pair of a token and one before it
+  apart @7 :Float32;       # prefill work sent to prefill engines per second, in tokens
+  inPlace @8 :Float32;     # prefill work sent to decode engines per second, in tokens
   short @9 :Float32;       # part of reading that decode engines could do as well
 }
 
 struct CrashRecord {
-  # An instance crashed under a request; the key names both.
-  writtenAt @0 :Float64;   # wall-clock seconds since the epoch
-  by @1 :Text;             # entry VM that wrote it
+  # An instance crashed while running a request; the store key names both.
+  writtenAt @0 :Float64;   # Unix time in seconds
+  by @1 :Text;             # entry VM that wrote the record
 }
 
 struct CrashNews {
-  # The same, told to peers, by fingerprints.
-  work @0 :Text;
-  instance @1 :Text;
+  # A crash as sent to peers.
+  work @0 :Text;           # fingerprint of the request's work
+  instance @1 :Text;       # fingerprint of the incarnation that crashed
 }
 
 struct LimitNews {
-  # The rate limit that an instance declares, told to peers.
+  # The rate limit that an instance declares, as sent to peers.
   instance @0 :Text;
-  rate @1 :Float64;        # requests a second, 0 when it has none any more
-  ageMs @2 :UInt32;        # since an answer showed it
+  rate @1 :Float64;        # requests per second, 0 when it no longer has a limit
+  ageMs @2 :UInt32;        # since the answer that declared it
 }
 
 struct PeerMessage {
-  # Sent several times a second from each entry VM to its peers over UDP. With
-  # dataCentre it is the sum of all VMs there, by the one that is named.
+  # Sent by each entry VM to its peers over UDP, several times a second. With dataCentre
+  # set, it holds the sum over all VMs of that data centre, computed by the VM `name`.
   name @0 :Text;
-  sequence @1 :UInt64;     # grows over restarts: drawn from the clock at start
+  sequence @1 :UInt64;     # starts at the clock's value, so it also grows over restarts
   leaving @2 :Bool;
   loads @3 :List(LoadRecord);
-  held @4 :List(Text);     # instances under change: no new work for now
+  held @4 :List(Text);     # cordoned instances: no new work while they change
   intervalMs @5 :UInt32;   # until the sender's next message
   reads @6 :List(ReadRecord);   # since the sender's last message
   pools @7 :List(PoolRecord);   # in some messages only
   samples @8 :List(SampleRecord);   # since the sender's last message
-  dataCentre @9 :Text;     # whose sum this is, empty for the sender's own counts
-  suspects @10 :List(Text);    # instances that the sender passes over, having failed
-  crashes @11 :List(CrashNews);   # that the sender saw; repeated, as datagrams get lost
-  limits @12 :List(LimitNews);   # changed ones in each message, all in some
+  dataCentre @9 :Text;     # data centre of a sum, empty for the sender's own counts
+  suspects @10 :List(Text);    # instances the sender avoids because they failed
+  crashes @11 :List(CrashNews);   # seen by the sender; repeated as datagrams may be lost
+  limits @12 :List(LimitNews);   # changed ones in every message, all of them in some
 }
--- a/src/mulberrydock/serve_settings.py
+++ b/src/mulberrydock/serve_settings.py
@@ -1,4 +1,4 @@
-"""Loading and checking of the settings file of an entry VM on the platform."""
+"""Loads and validates the settings file of an entry VM on the hosting platform."""
 
 import cattrs
 import jsonschema
@@ -13,9 +13,11 @@
 
 
 def parse_serve_settings(text, source="settings"):
-    """Parse and check settings TOML text.
+    """Parse and validate the TOML text of an entry VM's settings.
 
-    :raises SettingsError: naming the key that is wrong.
+    :param source: name used in error messages, such as the file path.
+    :returns: a :class:`ServeSettings`.
+    :raises SettingsError: on a syntax error, or listing every invalid key.
     """
     document = parse_toml(text, source)
     check_document(_VALIDATOR, document, source)
@@ -23,6 +25,10 @@
 
 
 def load_serve_settings(path):
-    """Read and check the settings file at ``path``."""
+    """Read and validate the settings file at ``path``.
+
+    :raises OSError: when the file can't be read.
+    :raises SettingsError: as :func:`parse_serve_settings`.
+    """
     with open(path, encoding="utf-8") as handle:
         return parse_serve_settings(handle.read(), source=str(path))
--- a/src/mulberrydock/settings.py
+++ b/src/mulberrydock/settings.py
@@ -1,8 +1,8 @@
-"""Loading and checking of settings files and declared configurations.
+"""Loads and validates settings files and declared configurations.
 
-A settings file is TOML checked against ``schema/settings.schema.json``; the
-declared configuration is the ``declared`` table of it, kept as TOML text in
-the platform store under a version number.
+A settings file is TOML, validated against ``schema/settings.schema.json``. Its
+``declared`` table is the declared configuration, which the store holds as TOML text
+under a version number.
 """
 
 import importlib.resources
@@ -50,9 +50,10 @@
 
 
 def check_document(validator, document, source):
-    """Check a parsed document against a schema.
+    """Validate a parsed document against a schema.
 
-    :raises SettingsError: with every offending key and why.
+    :param source: name used in error messages, such as the file path.
+    :raises SettingsError: listing every invalid key with the reason.
     """
     errors = sorted(validator.iter_errors(document), key=lambda e: list(e.path))
     if errors:
@@ -61,9 +62,10 @@
 
 
 def parse_toml(text, source):
-    """Return the document in TOML ``text``.
+    """Parse TOML ``text``.
 
-    :raises SettingsError: when it isn't TOML.
+    :param source: name used in error messages, such as the file path.
+    :raises SettingsError: when the text isn't valid TOML.
     """
     try:
         return tomllib.loads(text)
@@ -71,18 +73,18 @@
         raise SettingsError(f"{source}: not TOML: {error}") from error
 
 
-def _unique(items, what, source):
+def _check_unique(items, what, source):
     names = [item.name for item in items]
     repeated = sorted({name for name in names if names.count(name) > 1})
     if repeated:
         raise SettingsError(f"{source}: {what} named twice: {', '.join(repeated)}")
 
 
-def _cross_check(settings, source):
-    _unique(settings.engines, "engines", source)
-    _unique(settings.entries, "entries", source)
-    _unique(settings.services, "services", source)
-    _unique(settings.classes, "classes", source)
+def _check_references(settings, source):
+    _check_unique(settings.engines, "engines", source)
+    _check_unique(settings.entries, "entries", source)
+    _check_unique(settings.services, "services", source)
+    _check_unique(settings.classes, "classes", source)
     centres = set(settings.data_centres)
     for group in ("engines", "entries", "services"):
         for index, item in enumerate(getattr(settings, group)):
@@ -95,9 +97,10 @@
 
 
 def check_declared(declared, settings, source="declared"):
-    """Refuse a declared configuration that names unknown engines or VMs.
+    """Check that a declared configuration names only engines and VMs of ``settings``.
 
-    :raises SettingsError: naming the first offending key.
+    :param source: name used in error messages.
+    :raises SettingsError: naming the first key with an unknown engine or VM.
     """
     engines = {engine.name for engine in settings.engines}
     for index, order in enumerate(declared.engines):
@@ -112,23 +115,23 @@
 
 
 def parse_settings(text, source="settings"):
-    """Parse and check settings TOML text.
+    """Parse and validate the TOML text of a settings file.
 
     :param text: TOML text.
     :param source: name used in error messages, such as the file path.
     :returns: a :class:`Settings`.
-    :raises SettingsError: on a syntax error, a wrong key, type or range, or
-        a cross-reference to an unknown name; nothing is applied.
+    :raises SettingsError: on a syntax error, an unknown key, a wrong type, a value
+        out of range, a repeated name or a reference to an unknown name.
     """
     document = parse_toml(text, source)
     check_document(_VALIDATOR, document, source)
     settings = _converter.structure(document, Settings)
-    _cross_check(settings, source)
+    _check_references(settings, source)
     return settings
 
 
 def load_settings(path):
-    """Read and check the settings file at ``path``; see :func:`parse_settings`."""
+    """Read and validate the settings file at ``path``; see :func:`parse_settings`."""
     with open(path, encoding="utf-8") as handle:
         return parse_settings(handle.read(), source=str(path))
 
@@ -142,8 +145,11 @@
 
 
 def parse_declared(text, settings, source="declared"):
-    """Parse and check declared-configuration TOML text against ``settings``.
+    """Parse a declared configuration and check it against ``settings``.
 
+    :param text: TOML text.
+    :param settings: the :class:`Settings` with the known engines and VMs.
+    :param source: name used in error messages.
     :raises SettingsError: as :func:`parse_settings`.
     """
     document = parse_toml(text, source)
@@ -154,7 +160,7 @@
 
 
 def declared_to_toml(declared):
-    """Render a :class:`Declared` as TOML text that :func:`parse_declared` reads."""
+    """Render a :class:`Declared` as TOML text that :func:`parse_declared` accepts."""
     lines = [f"leaving = {json.dumps(list(declared.leaving))}", ""]
     for order in declared.engines:
         lines.append("[[engines]]")
@@ -165,7 +171,10 @@
 
 
 def merge_patch(base: dict, patch: dict) -> dict:
-    """Return ``base`` with ``patch`` merged in: tables merge, other values replace."""
+    """Return a copy of ``base`` with ``patch`` merged in.
+
+    Tables are merged recursively; any other value replaces the one in ``base``.
+    """
     merged = dict(base)
     for key, value in patch.items():
         if isinstance(value, dict) and isinstance(merged.get(key), dict):
--- a/src/mulberrydock/standin/__init__.py
+++ b/src/mulberrydock/standin/__init__.py
@@ -1,1 +1,2 @@
-"""Stand-ins of everything outside the system, for tests and local fleets."""
+"""Stand-ins for the external systems (store, engines, services, VM list), for tests
+and local fleets."""
--- a/src/mulberrydock/standin/engine.py
+++ b/src/mulberrydock/standin/engine.py
@@ -1,10 +1,10 @@
-"""A fake model engine speaking the OpenAI completions protocol over HTTP.
+"""Stand-in for a model engine that serves the OpenAI completions protocol over HTTP.
 
-The batching itself is in ``batch``. This module speaks the protocol:
-completions whole and streamed, resume, prefill with an exported KV cache,
-priorities, cancellation when the caller goes away, lagging load reports,
-late and gappy cache events, and fenced orders to load a model or change
-role. See ``docs/protocols.md``.
+``batch`` simulates batching; this module implements the protocol: whole and streamed
+completions, resuming a stream, prefill with an exported KV cache, priorities,
+cancellation when the caller disconnects, load reports that lag, cache events that are
+late and incomplete, and fenced orders to load a model or change role. See
+``docs/protocols.md``.
 """
 
 import asyncio
@@ -20,23 +20,23 @@
 from .. import defaults
 from .._http import JsonHandler, fetch_json, split_address
 from ..prefix import prompt_tokens
-from .batch import CUT, Batch, EngineConfig, Run
+from .batch import ABORTED, Batch, EngineConfig, Run
 
 __all__ = ["EngineConfig", "EngineState", "make_app", "serve"]
 
-#: Seconds an engine is unavailable while it loads a model or version.
+#: Time for which an engine is unavailable while it loads a model or version.
 LOAD_SECONDS = 0.5
-#: Seconds an engine is unavailable while it changes role.
+#: Time for which an engine is unavailable while it changes role.
 ROLE_CHANGE_SECONDS = 1.0
-#: Seconds between two refreshes of the load report (its lag).
-LOAD_REPORT_LAG_SECONDS = 0.5
-#: Tokens of KV cache moved between two engines in a second.
+#: Interval at which the load report is refreshed; readers see it up to this old.
+LOAD_REPORT_INTERVAL_SECONDS = 0.5
+#: Rate at which KV cache is transferred between two engines.
 KV_TRANSFER_TOKENS_PER_SECOND = 200_000.0
 
 
 @attrs.define
 class Order:
-    """An order as the engine received it."""
+    """An order as received by the engine; ``applied`` when it was accepted."""
 
     order_id: str
     fencing_token: int
@@ -48,7 +48,12 @@
 
 
 class EngineState:
-    """Model, role, orders, batch and load report of one engine."""
+    """State of one engine: model, role, orders, batch and load report.
+
+    ``now`` and the times kept here are monotonic seconds. ``sequence`` counts accepted
+    orders, ``crossed_answers`` how many of the next answers carry the id of another
+    request.
+    """
 
     def __init__(self, config):
         self.config = config
@@ -66,11 +71,11 @@
         self.crossed_answers = 0
 
     def available(self, now):
-        """True when the engine takes new requests at ``now``."""
+        """Return whether the engine accepts new requests at ``now``."""
         return bool(self.model) and now >= self.unavailable_until
 
     def refresh_report(self, now):
-        """Take a new load report; readers see it until the next refresh."""
+        """Refresh the load report, which readers see until the next refresh."""
         prompt, output = self.batch.backlog()
         self.reported_at = now
         self.report = {
@@ -86,12 +91,15 @@
         }
 
     def apply(self, body, now):
-        """Take an order; return ``(accepted, Order)``.
+        """Apply an order unless it is stale.
+
+        An engine that checks fencing refuses a token below the highest one seen. Every
+        engine refuses an order whose ``expected_sequence`` isn't the number of orders
+        it has accepted, or whose ``expected_instance`` isn't the current incarnation; a
+        restart resets the sequence and the highest token.
 
-        An engine that checks fencing refuses a token below the highest seen.
-        Any engine refuses an order whose ``expected_sequence`` is not the
-        number of orders it has accepted, or whose ``expected_instance`` is
-        not this start of it; a restart clears the sequence and the tokens.
+        :param body: the parsed body of the order.
+        :returns: ``(accepted, Order)``.
         """
         token = int(body.get("fencing_token", 0))
         order = Order(
@@ -112,20 +120,20 @@
             return False, order
         self.fencing_token = max(self.fencing_token, token)
         self.sequence += 1
-        wanted = (order.model, order.version, order.adapter)
-        if wanted != (self.model, self.version, self.adapter):
-            self.model, self.version, self.adapter = wanted
+        target = (order.model, order.version, order.adapter)
+        if target != (self.model, self.version, self.adapter):
+            self.model, self.version, self.adapter = target
             self.batch.cache.clear(now)
-            self._leave_for(LOAD_SECONDS, now)
+            self._suspend(LOAD_SECONDS, now)
         if order.role != self.batch.role:
             self.batch.role = order.role
             self.batch.counts["role_changes"] += 1
-            self._leave_for(ROLE_CHANGE_SECONDS, now)
+            self._suspend(ROLE_CHANGE_SECONDS, now)
         order.applied = True
         return True, order
 
-    def _leave_for(self, seconds, now):
-        self.batch.cut_all()
+    def _suspend(self, seconds, now):
+        self.batch.abort_all()
         self.unavailable_until = max(self.unavailable_until, now + seconds)
 
 
@@ -135,7 +143,7 @@
 
 
 class CompletionHandler(_EngineHandler):
-    """``POST /v1/completions`` and ``/v1/chat/completions``, whole or SSE."""
+    """``POST /v1/completions`` and ``/v1/chat/completions``, whole or as SSE."""
 
     def initialize(self, state, chat):
         self.state = state
@@ -145,7 +153,7 @@
     def on_connection_close(self):
         if self.running is not None:
             self.running.cancelled = True
-            self.running.pieces.put_nowait(CUT)
+            self.running.output_queue.put_nowait(ABORTED)
 
     async def post(self):
         body = self.json_body()
@@ -159,15 +167,15 @@
             self._refuse("this engine only prefills")
             return
         source = headers.get(defaults.KV_SOURCE_HEADER, "")
-        if source and not await self._import(source):
+        if source and not await self._import_kv(source):
             self._refuse("the KV cache can't be fetched")
             return
         self.request_id = headers.get(defaults.REQUEST_ID_HEADER, uuid.uuid4().hex)
         self.running = Run(
             rank=int(headers.get(defaults.RANK_HEADER, "5")),
             prompt=prompt_tokens(body),
-            first=int(headers.get(defaults.RESUME_HEADER, "0")),
-            last=int(body.get("max_tokens", 16)),
+            first_token=int(headers.get(defaults.RESUME_HEADER, "0")),
+            end=int(body.get("max_tokens", 16)),
             prefill_only=prefill_only,
             imported=bool(source),
         )
@@ -187,7 +195,7 @@
         self.set_header(defaults.NOT_EXECUTED_HEADER, "true")
         self.send_json({"error": {"message": message}}, 503)
 
-    async def _import(self, source):
+    async def _import_kv(self, source):
         address, _, handle = source.partition("/")
         http = tornado.httpclient.AsyncHTTPClient()
         try:
@@ -201,14 +209,14 @@
         await asyncio.sleep(document["tokens"] / KV_TRANSFER_TOKENS_PER_SECOND)
         return True
 
-    def _break_off(self):
-        """Close the connection without finishing the answer."""
+    def _abort(self):
+        """Close the connection without completing the answer."""
         self.request.connection.stream.close()
 
     async def _prefill(self):
-        piece = await self.running.pieces.get()
-        if piece == CUT:
-            self._break_off()
+        item = await self.running.output_queue.get()
+        if item == ABORTED:
+            self._abort()
             return
         handle = self.state.batch.export(self.running, time.monotonic())
         tokens = len(self.running.prompt)
@@ -218,7 +226,7 @@
         return f" {self.request_id[:8]}:{index}"
 
     def _usage(self):
-        prompt, output = len(self.running.prompt), self.running.last
+        prompt, output = len(self.running.prompt), self.running.end
         return {
             "prompt_tokens": prompt,
             "completion_tokens": output,
@@ -227,7 +235,7 @@
 
     def _chunk(self, index):
         text = self._text(index)
-        last = index == self.running.last - 1
+        last = index == self.running.end - 1
         finish = "length" if last else None
         if self.chat:
             choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish}
@@ -249,25 +257,25 @@
     async def _stream(self):
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-cache")
-        while (piece := await self.running.pieces.get()) >= 0:
-            self.write(f"data: {json.dumps(self._chunk(piece))}\n\n")
+        while (item := await self.running.output_queue.get()) >= 0:
+            self.write(f"data: {json.dumps(self._chunk(item))}\n\n")
             try:
                 await self.flush()
             except tornado.iostream.StreamClosedError:
                 return
-        if piece == CUT:
-            self._break_off()
+        if item == ABORTED:
+            self._abort()
             return
         self.write("data: [DONE]\n\n")
         self.finish()
 
     async def _whole(self):
-        while (piece := await self.running.pieces.get()) >= 0:
+        while (item := await self.running.output_queue.get()) >= 0:
             pass
-        if piece == CUT:
-            self._break_off()
+        if item == ABORTED:
+            self._abort()
             return
-        text = "".join(self._text(i) for i in range(self.running.last))
+        text = "".join(self._text(i) for i in range(self.running.end))
         if self.chat:
             message = {"role": "assistant", "content": text}
             choice = {"index": 0, "message": message, "finish_reason": "length"}
@@ -298,7 +306,7 @@
 
 
 class StateHandler(_EngineHandler):
-    """``GET /v1/state``: what the engine runs now and every order it received."""
+    """``GET /v1/state``: the engine's current state and every order it received."""
 
     def get(self):
         state = self.state
@@ -320,7 +328,7 @@
 
 
 class LoadHandler(_EngineHandler):
-    """``GET /v1/load``: a load report refreshed only every lag period."""
+    """``GET /v1/load``: the last load report and its age in seconds."""
 
     def get(self):
         age = time.monotonic() - self.state.reported_at
@@ -328,7 +336,7 @@
 
 
 class CacheEventsHandler(_EngineHandler):
-    """``GET /v1/cache_events?after=N``: published cache events, late, with gaps."""
+    """``GET /v1/cache_events?after=N``: cache events published since number N."""
 
     def get(self):
         after = int(self.get_argument("after", "0"))
@@ -338,8 +346,10 @@
 
 
 class FaultsHandler(_EngineHandler):
-    """``POST /v1/faults`` ``{"crossed_answers": N}``: the next N answers carry
-    the id of another request."""
+    """``POST /v1/faults`` ``{"crossed_answers": N}``.
+
+    The next N answers carry the id of another request.
+    """
 
     def post(self):
         self.state.crossed_answers = int(self.json_body().get("crossed_answers", 0))
@@ -347,10 +357,10 @@
 
 
 class KvHandler(_EngineHandler):
-    """``POST /v1/kv/<handle>/take``: hand an exported KV cache over, once."""
+    """``POST /v1/kv/<handle>/take``: transfer an exported KV cache, once."""
 
     def post(self, handle):
-        tokens = self.state.batch.take_handle(handle, time.monotonic())
+        tokens = self.state.batch.pop_handle(handle, time.monotonic())
         if tokens is None:
             self.send_json({"error": "no such handle"}, status=404)
             return
@@ -358,7 +368,7 @@
 
 
 def make_app(config):
-    """Return the tornado application of one fake engine."""
+    """Return the tornado application of one engine stand-in."""
     state = EngineState(config)
     args = {"state": state}
     app = tornado.web.Application(
@@ -382,13 +392,14 @@
 
 
 async def serve(address, config):
-    """Serve one fake engine on ``address`` until cancelled."""
+    """Serve one engine stand-in on ``address`` until cancelled."""
     app = make_app(config)
     host, port = split_address(address)
     app.listen(port, address=host)
     state = app.engine_state
-    batch = asyncio.ensure_future(state.batch.run(time.monotonic))
-    while not batch.done():
+    batch_task = asyncio.ensure_future(state.batch.run(time.monotonic))
+    while not batch_task.done():
         state.refresh_report(time.monotonic())
-        await asyncio.sleep(LOAD_REPORT_LAG_SECONDS)
-    batch.result()
+        await asyncio.sleep(LOAD_REPORT_INTERVAL_SECONDS)
+    # Raises the error that ended the batch.
+    batch_task.result()
--- a/src/mulberrydock/standin/faultproxy.py
+++ b/src/mulberrydock/standin/faultproxy.py
@@ -1,10 +1,13 @@
-"""A fault-injecting TCP proxy of our own, on tornado's TCP server and client.
+"""Fault-injecting TCP proxy, built on tornado's TCP server and client.
 
-It forwards bytes between a listen address and a target. A control port
-takes ``POST /faults`` with a mode: ``pass``, ``delay`` (adds ``delay_seconds``
-to every chunk), ``partition`` (refuses new connections and drops bytes of
-open ones), ``kill`` (closes every open connection) or ``silent`` (open
-connections stop forwarding for good while new ones work).
+It forwards bytes between a listen address and a target. A control port takes
+``POST /faults`` with a mode:
+
+- ``pass`` forwards normally,
+- ``delay`` delays every chunk by ``delay_seconds``,
+- ``partition`` refuses new connections and drops the bytes of open ones,
+- ``kill`` closes every open connection,
+- ``silent`` stops forwarding on all open connections for good; new ones work.
 """
 
 import asyncio
@@ -17,13 +20,13 @@
 
 from .._http import JsonHandler, split_address
 
-#: Bytes read from one side at a time.
+#: Most bytes read from one side at a time.
 CHUNK_BYTES = 65536
 MODES = ("pass", "delay", "partition", "kill", "silent")
 
 
 class _Pipe:
-    """One proxied connection: two streams and whether it has gone silent."""
+    """One proxied connection: its two streams, and whether it stopped forwarding."""
 
     def __init__(self, client, upstream):
         self.client = client
@@ -36,8 +39,11 @@
 
 
 class _Acceptor(tornado.tcpserver.TCPServer):
-    """Accepts connections for a proxy until it is stopped, once and for all:
-    a tornado server that listens again after a stop can't be stopped anew."""
+    """Accepts the connections of a proxy until it is stopped.
+
+    It is used once only: a tornado server that listens again after a stop can't be
+    stopped a second time.
+    """
 
     def __init__(self, proxy):
         super().__init__()
@@ -48,43 +54,51 @@
 
 
 class FaultProxy:
-    """Forwards connections to ``target`` under the present fault mode."""
+    """Forwards connections to a target under the current fault mode.
+
+    :param listen: ``host:port`` to accept on.
+    :param target: ``host:port`` to forward to.
+    """
 
     def __init__(self, listen, target):
-        self.listen_on = split_address(listen)
+        self.listen_address = split_address(listen)
         self.target = target
         self.mode = "pass"
         self.delay_seconds = 0.0
         self.pipes = set()
         self.connections = 0
-        self.held = None
+        self.reserved = None
         self.acceptor = None
 
     def open(self):
-        """Accept connections."""
-        if self.held is not None:
-            self.held.close()
-            self.held = None
-        host, port = self.listen_on
+        """Start to accept connections."""
+        if self.reserved is not None:
+            self.reserved.close()
+            self.reserved = None
+        host, port = self.listen_address
         self.acceptor = _Acceptor(self)
         self.acceptor.listen(port, address=host)
 
     def close(self):
-        """Refuse connections and keep the port.
+        """Refuse new connections and keep the port reserved.
 
-        Without a socket bound to it, another process that looks for a free
-        port may take it, and the proxy could not be opened again.
+        A socket stays bound to the port. Otherwise another process that looks for a
+        free port could take it, and the proxy couldn't be opened again.
         """
         self.acceptor.stop()
-        self.held = socket.socket()
-        self.held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.held.bind(self.listen_on)
+        self.reserved = socket.socket()
+        self.reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.reserved.bind(self.listen_address)
 
     def set_mode(self, mode, delay_seconds=0.0):
-        """Switch mode; ``kill`` closes all and ``silent`` freezes all open pipes.
+        """Switch the fault mode.
 
-        In a partition nothing listens, so a new connection is refused and
-        its caller knows that nothing was sent.
+        ``kill`` and ``silent`` affect the connections that are open now; afterwards the
+        mode is ``pass``. In a partition nothing listens on the port, so a new
+        connection is refused and its caller knows that nothing was sent.
+
+        :param mode: one of :data:`MODES`.
+        :param delay_seconds: delay of every chunk in mode ``delay``.
         """
         if mode == "partition" and self.mode != "partition":
             self.close()
@@ -154,7 +168,13 @@
 
 
 def start(listen, target, control):
-    """Start a proxy from ``listen`` to ``target`` with its control on ``control``."""
+    """Start a proxy and its control port on the running event loop.
+
+    :param listen: ``host:port`` to accept on.
+    :param target: ``host:port`` to forward to.
+    :param control: ``host:port`` that accepts ``POST /faults``.
+    :returns: the :class:`FaultProxy`.
+    """
     proxy = FaultProxy(listen, target)
     proxy.open()
     app = tornado.web.Application([(r"/faults", FaultsHandler, {"proxy": proxy})])
@@ -164,6 +184,6 @@
 
 
 async def serve(listen, target, control):
-    """Run a proxy until cancelled."""
+    """Run a proxy until cancelled; the arguments are those of :func:`start`."""
     start(listen, target, control)
     await asyncio.Event().wait()
--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's engines and plain services, with scripted faults.
+"""Stand-in for the platform's engines and plain services, with scripted faults.
 
-It answers whole calls and streams, prefill calls, reports and orders, and
-misbehaves as a test's script says. It is no model of an engine's speed.
+It answers whole calls and streams, prefill calls, reports and orders, and injects the
+faults that a test lists. It doesn't simulate an engine's speed.
 """
 
 import asyncio
@@ -19,7 +19,21 @@
 
 
 class Fault(enum.Enum):
-    """What an engine does with the next request instead of serving it."""
+    """What the instance does with a request instead of serving it normally.
+
+    - ``REFUSE``: answers 503 and states that the request was not executed.
+    - ``ERROR``: answers 500.
+    - ``HANG``: never answers.
+    - ``CUT``, ``CUT_MID_EVENT``: closes the connection in the middle of the answer, or
+      of a stream's event.
+    - ``CRASH_BEFORE_ANSWER``: closes the connection before it answers.
+    - ``UNFRAMED``: sends an answer without Content-Length and closes the connection.
+    - ``EXTRA``: sends a second answer after the first.
+    - ``LATE_OTHER``: sends the answer to another request first.
+    - ``UNSIGNED``: sends an answer without the response signature.
+    - ``STALL``, ``PAUSE``: a stream stops for good, or for :data:`PAUSE_SECONDS`; a
+      whole answer is late by as much.
+    """
 
     NONE = "none"
     REFUSE = "refuse"
@@ -36,16 +50,19 @@
     PAUSE = "pause"
 
 
-#: Seconds of a pause: longer than any silence after which an instance may be
-#: left for another one, shorter than the requests' deadline.
+#: Duration of a pause: longer than any progress timeout after which a request may be
+#: sent to another instance, shorter than the requests' deadline.
 PAUSE_SECONDS = 1.5
-#: Seconds after which a crashed process is back.
+#: Time after which a crashed process has restarted.
 CRASH_SECONDS = 0.5
 
 
 @attrs.define
 class Run:
-    """A request that this engine began to work on."""
+    """A request that the instance started to execute.
+
+    ``ended`` is "done" or "cancelled", empty while it runs.
+    """
 
     id: str
     method: str
@@ -58,18 +75,27 @@
 
 @attrs.define(eq=False)
 class PlatformEngine:
-    """One engine or plain-service instance at ``address``.
-
-    :param faults: what to do with the next requests, in order.
-    :param events: events of a whole stream; ids begin at 1.
-    :param born: Unix milliseconds of its start, None when it doesn't say.
-    :param crash_marker: a run whose body holds these bytes crashes the process.
-    :param on_crash: called with this engine when it crashes.
-    :param on_restart: called with this engine when it is back after a crash.
-    :param limit: rate limit that its answers declare, in requests a second.
-    :param prefill_gate: prefill calls are answered once this is set.
-    :param prefill_refusals: each entry refuses one prefill call; several
-        engines may share the list, so that whichever is asked first refuses.
+    """One engine or plain-service instance.
+
+    :param address: ``host:port`` that its record names; a proxy's may be set later.
+    :param stage: "prefill" or "decode", empty for a plain service.
+    :param events: number of events in a whole stream; their ids start at 1.
+    :param event_interval_seconds: seconds between two events.
+    :param prefill_gate: prefill calls are answered only once this event is set.
+    :param prefill_refusals: for each element one prefill call is refused; several
+        engines may share the list, so that whichever is called first refuses.
+    :param faults: a :class:`Fault` for each of the next requests, in order.
+    :param born: start of the incarnation in Unix milliseconds, None when its record
+        and report don't state it.
+    :param crash_marker: a request whose body contains these bytes crashes the process.
+    :param on_crash: called with this object when the process crashes.
+    :param on_restart: called with this object after the process has restarted.
+    :param limit: rate limit that its answers declare, in requests per second.
+
+    For assertions, ``runs`` lists the requests that it started to execute,
+    ``arrivals`` the ids of all that arrived, ``arrival_times`` their times in monotonic
+    seconds, ``prefills`` the ids of prefill calls, ``released`` the KV handles that
+    were released, and ``misdirected`` counts the calls meant for another instance.
     """
 
     id: str
@@ -95,13 +121,13 @@
     rate_limit: float | None = None
     arrived_ids: list = attrs.field(factory=list)
     arrival_times: list = attrs.field(factory=list)
-    listens_at: str = ""
+    listen_address: str = ""
     server: object = None
     readers: weakref.WeakSet = attrs.field(factory=weakref.WeakSet)
 
     def store_document(self, state="ready"):
-        """Return the document that the instance keeps of itself in the store."""
-        record = {
+        """Return the document with which the instance registers in the store."""
+        document = {
             "service": self.service,
             "address": self.address,
             "zone": self.data_centre,
@@ -112,24 +138,28 @@
             "sequence": 7,
         }
         if self.stage:
-            record["stage"] = self.stage
-        return record | self._birth()
+            document["stage"] = self.stage
+        return document | self._start_field()
 
-    def _birth(self):
+    def _start_field(self):
         return {} if self.started_at_ms is None else {"born": self.started_at_ms}
 
     def listen(self):
-        """Begin to serve on the running loop.
+        """Start to serve on the running event loop.
 
-        Where it listens stays, also when it is known by a proxy's address later.
+        The address of the first call is kept for later ones: by then ``address`` may be
+        that of a proxy.
         """
-        self.listens_at = self.listens_at or self.address
-        host, port = self.listens_at.split(":")
-        self.server = tornado.httpserver.HTTPServer(_Server(self))
+        self.listen_address = self.listen_address or self.address
+        host, port = self.listen_address.split(":")
+        self.server = tornado.httpserver.HTTPServer(_ConnectionDelegate(self))
         self.server.listen(int(port), address=host)
 
     def restart(self, started_at_ms):
-        """Start again under the same id: nothing of before is known."""
+        """Restart under the same id, without the state of the previous incarnation.
+
+        :param born: start of the new incarnation in Unix milliseconds.
+        """
         self.started_at_ms = started_at_ms
         self.orders = []
         self.prefills = []
@@ -137,25 +167,28 @@
             reader.close()
 
     def crash(self):
-        """End as a process that crashed, and be back under the same id later."""
+        """Crash, and restart under the same id after :data:`CRASH_SECONDS`."""
         self.crashes += 1
         self.on_crash(self)
         self.stop()
         for reader in list(self.readers):
             reader.close()
-        asyncio.get_running_loop().call_later(CRASH_SECONDS, self._come_back)
+        asyncio.get_running_loop().call_later(CRASH_SECONDS, self._restart_after_crash)
 
-    def _come_back(self):
+    def _restart_after_crash(self):
         self.started_at_ms = int(time.time() * 1000)
         self.listen()
         self.on_restart(self)
 
     def stop(self):
-        """Refuse new connections, as a process that is gone."""
+        """Stop listening, so that new connections are refused."""
         self.server.stop()
 
     async def answer(self, reader):
-        """Answer one request read by ``reader``."""
+        """Answer one request.
+
+        :param reader: the :class:`_Reader` that received it and sends the answer.
+        """
         path = reader.start_line.path
         if reader.headers.get(wire.EXPECT_INSTANCE, self.id) != self.id:
             self.misdirected += 1
@@ -178,7 +211,7 @@
             "sequence": len(self.orders),
             "queued": 0,
             "running": 0,
-        } | self._birth()
+        } | self._start_field()
 
     def _order(self, reader):
         order = json.loads(reader.body)
@@ -197,7 +230,7 @@
         self.arrival_times.append(time.monotonic())
         fault = self.faults.pop(0) if self.faults else Fault.NONE
         if fault is Fault.REFUSE:
-            reader.respond(503, {wire.NOT_EXECUTED: "1"} | self._limit(), b"")
+            reader.respond(503, {wire.NOT_EXECUTED: "1"} | self._limit_header(), b"")
             return
         if reader.headers.get(wire.STAGE) == "prefill":
             await self._prefill(reader)
@@ -231,19 +264,19 @@
         if self.prefill_gate is not None:
             await self.prefill_gate.wait()
         body = json.dumps({"kv_handle": handle, "tokens": 10, "version": 1})
-        headers = {wire.ATTEMPT_ID: self.prefills[-1]} | self._limit()
+        headers = {wire.ATTEMPT_ID: self.prefills[-1]} | self._limit_header()
         reader.respond(200, headers, body.encode())
 
-    def _limit(self):
+    def _limit_header(self):
         return (
             {} if self.rate_limit is None else {wire.SERVER_LIMIT: str(self.rate_limit)}
         )
 
-    def _marks(self, run):
+    def _answer_headers(self, run):
         return {
             wire.ATTEMPT_ID: run.id,
             wire.SIGNATURE: f"signature-of-{self.id}",
-        } | self._limit()
+        } | self._limit_header()
 
     async def _run(self, reader, run, fault):
         if fault is Fault.HANG:
@@ -251,7 +284,7 @@
         if fault is Fault.CRASH_BEFORE_ANSWER:
             reader.close()
         elif fault is Fault.ERROR:
-            reader.respond(500, self._marks(run), b"failed")
+            reader.respond(500, self._answer_headers(run), b"failed")
         elif fault is Fault.UNSIGNED:
             reader.respond(200, {wire.ATTEMPT_ID: run.id}, b"not the engine's")
         elif self.stage:
@@ -267,20 +300,20 @@
         if fault is Fault.LATE_OTHER:
             reader.raw(_raw_answer({wire.ATTEMPT_ID: "other"}, b"someone else's"))
         if fault is Fault.UNFRAMED:
-            reader.raw(_raw_head(self._marks(run)) + body)
+            reader.raw(_raw_head(self._answer_headers(run)) + body)
             reader.close()
             return
         if fault is Fault.CUT:
-            reader.raw(_raw_answer(self._marks(run), body)[:-4])
+            reader.raw(_raw_answer(self._answer_headers(run), body)[:-4])
             reader.close()
             return
-        reader.respond(200, self._marks(run), body)
+        reader.respond(200, self._answer_headers(run), body)
         if fault is Fault.EXTRA:
-            reader.raw(_raw_answer(self._marks(run), b"a second answer"))
+            reader.raw(_raw_answer(self._answer_headers(run), b"a second answer"))
 
     async def _stream(self, reader, run, fault):
         first = run.last_event_id + 1
-        reader.begin(self._marks(run) | {"Content-Type": "text/event-stream"})
+        reader.begin(self._answer_headers(run) | {"Content-Type": "text/event-stream"})
         for number in range(first, self.events + 1):
             if number - first == 2 and fault is Fault.CUT:
                 reader.close()
@@ -308,7 +341,7 @@
 
 
 class _Reader(tornado.httputil.HTTPMessageDelegate):
-    """Reads one request and answers it as the engine says."""
+    """Receives one request and sends the answer that the engine gives."""
 
     def __init__(self, engine, connection):
         self.engine = engine
@@ -344,7 +377,7 @@
         self.connection.finish()
 
     def begin(self, headers):
-        """Begin a streamed answer."""
+        """Start a streamed answer."""
         self.connection.write_headers(
             self._start(200), tornado.httputil.HTTPHeaders(headers)
         )
@@ -358,15 +391,15 @@
         self.connection.finish()
 
     def raw(self, data):
-        """Send bytes as they are."""
+        """Send bytes without framing."""
         self.connection.stream.write(data)
 
     def close(self):
-        """Close the connection, whatever was sent."""
+        """Close the connection, even in the middle of an answer."""
         self.connection.stream.close()
 
 
-class _Server(tornado.httputil.HTTPServerConnectionDelegate):
+class _ConnectionDelegate(tornado.httputil.HTTPServerConnectionDelegate):
     def __init__(self, engine):
         self.engine = engine
 
--- a/src/mulberrydock/standin/platform_store.py
+++ b/src/mulberrydock/standin/platform_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' platform store, speaking its protocol.
+"""Stand-in for the hosting platform's store, with its protocol.
 
-The data is :class:`~mulberrydock.standin.store.StoreState`; here are the
-platform's calls over it, with the faults that tests ask for.
+It serves the platform's calls on a :class:`~mulberrydock.standin.store.StoreState` and
+injects the faults that tests ask for.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from ..platform.store import STORE_ERA
 from .store import StoreState
 
-#: Seconds between two sweeps of expired leases.
-EXPIRY_SECONDS = 0.05
+#: Interval at which expired leases are removed.
+EXPIRY_SWEEP_SECONDS = 0.05
 
 
 @attrs.define(frozen=True)
-class Copy:
+class Snapshot:
     """The store's data at one moment."""
 
     items: dict
@@ -31,11 +31,13 @@
 
 
 class PlatformStoreState(StoreState):
-    """Store data plus the faults that a test switches on.
+    """The store's data and the faults that a test switches on.
 
-    ``refusing`` answers 503 to every call; ``silent`` answers nothing;
-    ``lose_write_answers`` counts writes to be done and not answered. ``era`` counts how often
-    it came back from an older copy.
+    - ``refusing``: every call is answered 503.
+    - ``silent``: no call is answered.
+    - ``lose_write_answers``: number of writes that still take effect without an answer.
+    - ``era``: how many times the store was restored from an older copy of its data.
+    - ``compacted_revision``: watches from before this revision are answered 410.
     """
 
     def __init__(self):
@@ -43,45 +45,45 @@
         self.refusing = False
         self.silent = False
         self.lose_write_answers = 0
-        self.compacted_at = 0
+        self.compacted_revision = 0
         self.era = 0
 
     def snapshot(self):
-        """Return a :class:`Copy` of the data as they are."""
-        return Copy(
+        """Return a :class:`Snapshot` of the current data."""
+        return Snapshot(
             dict(self.items),
             copy.deepcopy(self.leases),
             self.revision,
             self.next_lease,
         )
 
-    def restore(self, copied):
-        """Come back from an older copy: what was written since is lost."""
-        self.items = dict(copied.items)
-        self.leases = copy.deepcopy(copied.leases)
-        self.revision = copied.revision
-        self.next_lease = copied.next_lease
+    def restore(self, snapshot):
+        """Restore the data of a :class:`Snapshot`; what was written since is lost."""
+        self.items = dict(snapshot.items)
+        self.leases = copy.deepcopy(snapshot.leases)
+        self.revision = snapshot.revision
+        self.next_lease = snapshot.next_lease
         self.history.clear()
-        self.compacted_at = copied.revision
+        self.compacted_revision = snapshot.revision
         self.era += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
     def write(self, key, document):
-        """Write a document as the operator or an instance does."""
+        """Write a document as JSON, as the operator or an instance does."""
         return self.write_bytes(key, json.dumps(document).encode())
 
     def write_bytes(self, key, raw):
-        """Write any bytes, as a foreign writer may."""
+        """Write arbitrary bytes, as a program outside this project may."""
         return self.put(key, _encode(raw), None, 0, time.monotonic())
 
     def compact_history(self):
-        """Drop the history, as a compaction does."""
+        """Drop the whole history, as a compaction does."""
         self.history.clear()
-        self.compacted_at = self.revision
+        self.compacted_revision = self.revision
 
     def events_after(self, prefix, after):
-        if after < self.compacted_at or after > self.revision:
+        if after < self.compacted_revision or after > self.revision:
             return None
         return super().events_after(prefix, after)
 
@@ -120,13 +122,13 @@
         return json.loads(self.request.body)
 
     def answer(self, document, status=200):
-        """Send ``document``, or drop it where a lost answer is due."""
+        """Send ``document``, or drop it while answers to writes are to be lost."""
         if self.writes and self.state.lose_write_answers > 0:
             self.state.lose_write_answers -= 1
             self.request.connection.stream.close()
             return
         self.set_status(status)
-        # A watch may have waited through the loss.
+        # Set anew: the era may have changed while a watch was waiting.
         self.set_header(STORE_ERA, str(self.state.era))
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(document))
@@ -215,10 +217,10 @@
         self.answer({"lease": lease, "ttl_ms": ttl_ms})
 
 
-class _KeepHandler(_Handler):
+class _KeepaliveHandler(_Handler):
     def post(self, lease):
-        kept = self.state.keepalive(int(lease), time.monotonic())
-        self.answer({}, 200 if kept else 404)
+        renewed = self.state.keepalive(int(lease), time.monotonic())
+        self.answer({}, 200 if renewed else 404)
 
 
 class _LeaseEndHandler(_Handler):
@@ -228,15 +230,18 @@
 
 
 async def expire_leases(state):
-    """End leases whose time is over, for ever."""
+    """Remove expired leases of ``state`` until cancelled.
+
+    An unavailable store doesn't expire leases.
+    """
     while True:
         if not state.refusing and not state.silent:
             state.expire(time.monotonic())
-        await asyncio.sleep(EXPIRY_SECONDS)
+        await asyncio.sleep(EXPIRY_SWEEP_SECONDS)
 
 
 def make_app(state):
-    """Return the tornado application of the store."""
+    """Return the tornado application that serves ``state``."""
     args = {"state": state}
     return tornado.web.Application(
         [
@@ -245,7 +250,7 @@
             (r"/kv-watch", _WatchHandler, args),
             (r"/kv-txn", _TxnHandler, args),
             (r"/kv-lease", _LeaseHandler, args),
-            (r"/kv-keep/([0-9]+)", _KeepHandler, args),
+            (r"/kv-keep/([0-9]+)", _KeepaliveHandler, args),
             (r"/kv-lease-end/([0-9]+)", _LeaseEndHandler, args),
         ],
         log_function=lambda handler: None,
--- a/src/mulberrydock/standin/service.py
+++ b/src/mulberrydock/standin/service.py
@@ -1,9 +1,9 @@
-"""A fake plain application service: a non-idempotent record route and a status route.
+"""Stand-in for an application service with a non-idempotent and an idempotent route.
 
-``POST /v1/<route>`` creates a record (a renewal record or a playlist
-ticket) every time it is called, with no deduplication of its own, and counts
-each execution by the ``Idempotency-Key`` it was sent so that a test can see
-doubles. ``GET /v1/status/<subject>`` is an idempotent lookup.
+``POST /v1/<route>`` creates a record (a renewal record or a playlist ticket) on every
+call, without deduplication. It counts executions by the ``Idempotency-Key`` of the
+call, so that a test can detect duplicates. ``GET /v1/status/<subject>`` is an
+idempotent lookup.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class ServiceState:
-    """Records made, executions counted by idempotency key, and latency."""
+    """Created records, executions counted by idempotency key, and latency."""
 
     def __init__(self, name, latency_seconds=0.01):
         self.name = name
@@ -28,7 +28,7 @@
 
 
 class RecordHandler(JsonHandler):
-    """``POST /v1/<route>``: make a record; not idempotent."""
+    """``POST /v1/<route>``: create a record; not idempotent."""
 
     def initialize(self, state):
         self.state = state
@@ -55,7 +55,7 @@
 
 
 class FaultsHandler(JsonHandler):
-    """``POST /v1/faults`` ``{"latency_seconds": S}``: how long each call takes."""
+    """``POST /v1/faults`` ``{"latency_seconds": S}``: set how long each call takes."""
 
     def initialize(self, state):
         self.state = state
@@ -66,7 +66,7 @@
 
 
 class ExecutionsHandler(JsonHandler):
-    """``GET /v1/executions``: how many times each idempotency key ran."""
+    """``GET /v1/executions``: number of executions by idempotency key."""
 
     def initialize(self, state):
         self.state = state
@@ -76,7 +76,10 @@
 
 
 def make_app(name, latency_seconds=0.01):
-    """Return the tornado application of one fake service instance."""
+    """Return the tornado application of one service instance.
+
+    :param latency_seconds: how long each call takes.
+    """
     state = ServiceState(name, latency_seconds)
     args = {"state": state}
     app = tornado.web.Application(
@@ -92,7 +95,7 @@
 
 
 async def serve(address, name, latency_seconds=0.01):
-    """Serve one fake service instance on ``address`` until cancelled."""
+    """Serve one service instance on ``address`` until cancelled."""
     app = make_app(name, latency_seconds)
     host, port = split_address(address)
     app.listen(port, address=host)
--- a/src/mulberrydock/standin/store.py
+++ b/src/mulberrydock/standin/store.py
@@ -1,9 +1,8 @@
-"""A fake of the platform's key-value store, served over HTTP with JSON bodies.
+"""Stand-in for the key-value store, served over HTTP with JSON bodies.
 
-It keeps keys with versions, compare-and-swap, leases with a time to live and
-prefix watches, and injects the store's failures on request: outages,
-slowness, and writes that take effect but lose their answer. The protocol is
-in ``docs/protocols.md``.
+It implements versioned keys, compare-and-swap, leases with a time to live and prefix
+watches. On request it injects failures: outages, delays, and writes that take effect
+while their answer is lost. ``docs/protocols.md`` describes the protocol.
 """
 
 import asyncio
@@ -19,17 +18,22 @@
 from .._http import JsonHandler
 from ..exceptions import StoreError, VersionConflict
 
-#: Events kept for watches; an older ``after`` gets 410 and must re-read.
-HISTORY_LIMIT = 10000
-#: Bytes of HTTP framing counted for each request and each answer.
+#: Events kept for watches; a watch from before them gets 410 and its client must read
+#: the prefix again.
+MAX_HISTORY_EVENTS = 10000
+#: Estimated HTTP overhead that is counted for each request and each answer.
 FRAMING_BYTES = 150
-#: Seconds between two sweeps of expired leases.
+#: Interval at which expired leases are removed.
 EXPIRY_SWEEP_SECONDS = 0.05
 
 
 @attrs.define
 class Item:
-    """One key: its value, the revision of its last change and its lease."""
+    """Value of one key.
+
+    ``version`` is the revision of its last change, ``create_revision`` that of its
+    creation, ``lease`` the id of the lease it is attached to, 0 for none.
+    """
 
     value: str
     version: int
@@ -39,7 +43,10 @@
 
 @attrs.define
 class Lease:
-    """A lease: keys attached to it vanish when it expires."""
+    """A lease; the keys attached to it are deleted when it expires.
+
+    ``ttl`` is in seconds, ``expires_at`` on the clock that callers use.
+    """
 
     ttl: float
     expires_at: float
@@ -48,7 +55,11 @@
 
 @attrs.define
 class Faults:
-    """Failures to inject: outage (503), delay, and lost write answers."""
+    """Failures to inject.
+
+    ``outage`` answers every call with 503, ``delay_seconds`` delays every call, and
+    ``lose_answers`` is the number of writes whose answers are still to be dropped.
+    """
 
     outage: bool = False
     delay_seconds: float = 0.0
@@ -56,25 +67,31 @@
 
 
 class StoreState:
-    """The store's data; every method takes the present time ``now``."""
+    """The store's data. ``now`` is the current time in seconds, on any one clock."""
 
     def __init__(self):
         self.items = {}
         self.leases = {}
         self.revision = 0
         self.next_lease = 1
-        self.history = collections.deque(maxlen=HISTORY_LIMIT)
+        self.history = collections.deque(maxlen=MAX_HISTORY_EVENTS)
         self.changed = asyncio.Event()
         self.faults = Faults()
         self.calls = collections.Counter()
 
-    def _record(self, key, item):
+    def _append_history(self, key, item):
         self.history.append((self.revision, key, item))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def put(self, key, value, expect_version, lease, now):
-        """Compare-and-swap; return ``(True, version)`` or ``(False, current)``."""
+        """Write ``key``, if ``expect_version`` is None or the key's version.
+
+        :param expect_version: 0 when the key must be absent.
+        :param lease: id of the lease to attach the key to, or 0.
+        :returns: ``(True, version)``, or ``(False, current_version)`` when the version
+            differs or the lease doesn't exist.
+        """
         current = self.items.get(key)
         current_version = current.version if current else 0
         if expect_version is not None and expect_version != current_version:
@@ -89,11 +106,14 @@
         self.items[key] = item
         if lease:
             self.leases[lease].keys.add(key)
-        self._record(key, item)
+        self._append_history(key, item)
         return True, self.revision
 
     def delete(self, key, expect_version):
-        """Delete ``key``; return ``(True, revision)`` or ``(False, current)``."""
+        """Delete ``key``, if ``expect_version`` is None or the key's version.
+
+        :returns: ``(True, revision)``, or ``(False, current_version)``.
+        """
         current = self.items.get(key)
         current_version = current.version if current else 0
         if expect_version is not None and expect_version != current_version:
@@ -104,7 +124,7 @@
         if current.lease in self.leases:
             self.leases[current.lease].keys.discard(key)
         self.revision += 1
-        self._record(key, None)
+        self._append_history(key, None)
         return True, self.revision
 
     def grant(self, ttl, now):
@@ -115,7 +135,10 @@
         return lease
 
     def keepalive(self, lease, now):
-        """Extend ``lease`` by its ttl; False when it has expired or never was."""
+        """Renew ``lease`` for its ttl.
+
+        :returns: False when the lease doesn't exist, or no longer.
+        """
         found = self.leases.get(lease)
         if found is None:
             return False
@@ -123,18 +146,22 @@
         return True
 
     def revoke(self, lease):
-        """End ``lease`` now and delete its keys."""
+        """End ``lease`` and delete its keys."""
         found = self.leases.pop(lease, None)
         for key in sorted(found.keys if found else ()):
             self.delete(key, None)
 
     def expire(self, now):
-        """Revoke every lease whose time has passed."""
+        """Revoke every lease whose time to live has passed."""
         for lease in [k for k, v in self.leases.items() if v.expires_at <= now]:
             self.revoke(lease)
 
     def events_after(self, prefix, after):
-        """Return events newer than ``after`` under ``prefix``, or None if compacted."""
+        """Return the events under ``prefix`` newer than revision ``after``.
+
+        :returns: a list of (revision, key, item), or None when some of them are no
+            longer in the history.
+        """
         if self.history and after < self.history[0][0] - 1:
             return None
         return [
@@ -145,14 +172,16 @@
 
 
 class DirectStore:
-    """The calls of ``StoreClient`` on a :class:`StoreState` in this process.
+    """Store client that calls a :class:`StoreState` in the same process.
 
-    For tests that need their own time, or an answer lost at a given call.
+    For tests that need a clock of their own, or failures of particular calls. The next
+    ``lost_writes`` puts take effect but return an error, the next ``failing_reads``
+    gets fail.
 
-    :param clock: returns the present time.
+    :param clock: returns the current time in seconds.
     """
 
-    #: This store never comes back from an older copy.
+    #: Counts restores from an older copy, which this store doesn't have.
     era = 0
 
     def __init__(self, state, clock=time.monotonic):
@@ -162,30 +191,37 @@
         self.lost_writes = 0
 
     async def grant(self, ttl):
-        """Create a lease."""
+        """Create a lease: ``Ok(lease_id)``."""
         return Ok(self.state.grant(ttl, self.clock()))
 
     async def keepalive(self, lease):
-        """Renew a lease; ``Ok(False)`` when it has ended."""
+        """Renew a lease: ``Ok(True)``, or ``Ok(False)`` when it has ended."""
         return Ok(self.state.keepalive(lease, self.clock()))
 
     async def revoke(self, lease):
-        """End a lease."""
+        """End a lease and delete its keys."""
         return Ok(self.state.revoke(lease))
 
     async def put(self, key, value, expect_version=None, lease=0):
-        """Compare-and-swap; a lost write takes effect and answers an error."""
+        """Write ``key``, see :meth:`StoreState.put`.
+
+        :returns: ``Ok(version)``, ``Error(VersionConflict)``, or an error although the
+            write took effect, while :attr:`lost_writes` is above 0.
+        """
         done, version = self.state.put(key, value, expect_version, lease, self.clock())
         if self.lost_writes:
             self.lost_writes -= 1
-            return Error(StoreError("answer lost"))
+            return Error(StoreError(f"injected fault: answer to put {key} lost"))
         return Ok(version) if done else Error(VersionConflict(key, version))
 
     async def get(self, key):
-        """Read one key, or fail while :attr:`failing_reads` lasts."""
+        """Read ``key``; fails while :attr:`failing_reads` is above 0.
+
+        :returns: ``Ok(Item)``, ``Ok(None)`` when the key is absent, or an error.
+        """
         if self.failing_reads:
             self.failing_reads -= 1
-            return Error(StoreError("outage"))
+            return Error(StoreError(f"injected fault: get {key} failed"))
         item = self.state.items.get(key)
         if item is None:
             return Ok(None)
@@ -224,16 +260,16 @@
             self.send_json({"error": "outage"}, status=503)
 
     def answer_write(self, document, status=200):
-        """Send a write's answer, or drop it when a lost answer is due."""
+        """Send the answer to a write, or drop it while answers are to be lost."""
         if self.state.faults.lose_answers > 0:
-            # The write has taken effect; the caller sees only a cut connection.
+            # The write has taken effect, but the caller only sees a closed connection.
             self.state.faults.lose_answers -= 1
             self.request.connection.stream.close()
             return
         self.send_json(document, status=status)
 
     def send_json(self, document, status=200, code=None):
-        """Send as :class:`JsonHandler` does, counting the answer's bytes."""
+        """Send as :class:`JsonHandler` does, and count the bytes of the answer."""
         text = json.dumps(document)
         self.state.calls["bytes"] += FRAMING_BYTES + len(text)
         self.set_status(status)
@@ -242,7 +278,7 @@
 
 
 class KeyHandler(_StoreHandler):
-    """``GET /v1/kv/<key>``: one key, or 404 with the store's revision."""
+    """``GET /v1/kv/<key>``: one key, or 404; either with the store's revision."""
 
     def get(self, key):
         item = self.state.items.get(key)
@@ -300,7 +336,10 @@
 
 
 class WatchHandler(_StoreHandler):
-    """``GET /v1/watch?prefix=P&after=R&timeout=S``: long poll for changes."""
+    """``GET /v1/watch?prefix=P&after=R&timeout=S``: long poll for changes.
+
+    Answers 410 when the changes since revision R are no longer in the history.
+    """
 
     kind = "watch"
 
@@ -350,7 +389,7 @@
 
 
 class FaultsHandler(_StoreHandler):
-    """``POST /v1/faults``: set outage, delay and lost answers; GET reads counts."""
+    """``POST /v1/faults`` sets the failures to inject; GET returns counts of calls."""
 
     kind = "faults"
 
@@ -367,7 +406,10 @@
 
 
 def make_app(state=None):
-    """Return the tornado application of the fake store over ``state``."""
+    """Return the tornado application of the store.
+
+    :param state: a :class:`StoreState`, by default a new one.
+    """
     state = state or StoreState()
     args = {"state": state}
     app = tornado.web.Application(
@@ -386,7 +428,7 @@
 
 
 async def serve(address):
-    """Serve the fake store on ``address`` until cancelled."""
+    """Serve the store on ``address`` until cancelled."""
     from .._http import split_address
 
     app = make_app()
--- a/src/mulberrydock/standin/vmlist.py
+++ b/src/mulberrydock/standin/vmlist.py
@@ -1,7 +1,7 @@
-"""A fake of the platform's VM list: live and leaving VMs, shown with a lag.
+"""Stand-in for the platform's VM list, which shows live and leaving VMs with a lag.
 
-``POST /v1/vms/<name>`` with ``{"state": "leaving"}`` changes a VM's state at
-once; ``GET /v1/vms`` shows each change only after ``lag_seconds``.
+``POST /v1/vms/<name>`` with ``{"state": "leaving"}`` changes a VM's state at once;
+``GET /v1/vms`` shows each change only after ``lag_seconds``.
 """
 
 import asyncio
@@ -11,19 +11,23 @@
 
 from .._http import JsonHandler, split_address
 
-#: Seconds by which the list trails the truth.
+#: Time until the list shows a change.
 DEFAULT_LAG_SECONDS = 5.0
 
 
 class VmListState:
-    """Each VM's changes as ``(time, state)``, so a lagged view can be read."""
+    """History of each VM's state as ``(monotonic seconds, state)``, for lagged views.
+
+    :param names: the VMs, all live at first.
+    :param lag_seconds: time until a change is shown.
+    """
 
     def __init__(self, names, lag_seconds=DEFAULT_LAG_SECONDS):
         self.lag_seconds = lag_seconds
         self.changes = {name: [(0.0, "live")] for name in names}
 
     def set(self, name, state, now):
-        """Record that ``name`` is in ``state`` from ``now`` on."""
+        """Record that ``name`` changed to ``state`` at ``now``."""
         self.changes.setdefault(name, [(0.0, "live")]).append((now, state))
 
     def view(self, now):
@@ -36,7 +40,7 @@
 
 
 class VmsHandler(JsonHandler):
-    """``GET /v1/vms`` lagged list; ``POST /v1/vms/<name>`` sets a state."""
+    """``GET /v1/vms`` returns the lagged list; ``POST /v1/vms/<name>`` sets a state."""
 
     def initialize(self, state):
         self.state = state
@@ -51,7 +55,7 @@
 
 
 def make_app(names, lag_seconds=DEFAULT_LAG_SECONDS):
-    """Return the tornado application of the fake VM list."""
+    """Return the tornado application of the VM list; see :class:`VmListState`."""
     state = VmListState(names, lag_seconds)
     app = tornado.web.Application(
         [
@@ -64,7 +68,7 @@
 
 
 async def serve(address, names, lag_seconds=DEFAULT_LAG_SECONDS):
-    """Serve the fake VM list on ``address`` until cancelled."""
+    """Serve the VM list on ``address`` until cancelled; see :class:`VmListState`."""
     app = make_app(names, lag_seconds)
     host, port = split_address(address)
     app.listen(port, address=host)
--- a/src/mulberrydock/trace.py
+++ b/src/mulberrydock/trace.py
@@ -1,9 +1,9 @@
-"""Puts the log lines of one request in order and says how it ended.
+"""Collects the log lines of one request and derives how the request ended.
 
-Works on the JSON lines of any number of VMs. Beside the request's own lines
-it shows what the VM that took it came to believe, in the meantime, about the
-instances that it was sent to, and which instances crashed under the same work,
-whichever VM saw it.
+The input is the JSON log lines of any number of VMs. Apart from the request's own
+lines, a trace contains the lines that explain them: events of the VM that handled the
+request and what it recorded meanwhile about the instances the request was sent to,
+and crashes of instances under the same work, as seen by any VM.
 """
 
 import datetime
@@ -11,11 +11,12 @@
 
 import attrs
 
-#: Seconds around a request in which beliefs about its instances are shown: a
-#: crashed engine is suspected at once, and its record lapses after 4 s.
-AROUND_SECONDS = 5.0
-#: Events that say what a VM believes of an instance.
-BELIEFS = frozenset(
+#: Lines about a request's instances are included from this many seconds before the
+#: request's first line until as long after its last one: a crashed engine is suspected
+#: at once, but its record expires only after 4 s.
+CONTEXT_SECONDS = 5.0
+#: Events that log a change in a VM's view of an instance.
+INSTANCE_EVENTS = frozenset(
     (
         "instance seen",
         "instance stage changed",
@@ -25,16 +26,21 @@
         "order",
     )
 )
-#: Events about work, by its fingerprint: a request may be refused for what other VMs
-#: saw long before it came.
-WORK_EVENTS = frozenset(("instance crashed", "crash written", "cleared of crashes"))
-#: Events of the process itself that can end a request without a line about it.
+#: Events about a request's work, matched by its fingerprint and included from any time
+#: before the request's end: a request may be refused because of crashes that other VMs
+#: saw long before it arrived.
+CRASH_EVENTS = frozenset(("instance crashed", "crash written", "cleared of crashes"))
+#: Events of the process itself that can end a request without logging its end.
 PROCESS_EVENTS = frozenset(("started", "draining", "drained", "stopped", "task ended"))
 
 
 @attrs.define(frozen=True)
 class LogLine:
-    """One log line; ``at`` is its time of day, ``fields`` the event's own."""
+    """One log line.
+
+    ``at`` is its time with date, ``process`` the name of the VM's process, ``fields``
+    the event's further fields.
+    """
 
     at: datetime.datetime
     process: str
@@ -43,9 +49,9 @@
 
     @classmethod
     def from_text(cls, text):
-        """Read a line, None when it is no log line.
+        """Parse a line; a log collector's prefix before the JSON object is skipped.
 
-        What a log collector puts before the JSON object is passed over.
+        :returns: a :class:`LogLine`, or None when ``text`` isn't a log line.
         """
         _, brace, rest = text.partition("{")
         try:
@@ -58,14 +64,18 @@
 
 @attrs.define(frozen=True)
 class RequestTrace:
-    """The lines of one request, those that explain them, and the cause."""
+    """The lines of one request, related lines that explain them, and the cause.
+
+    ``lines`` and ``related`` are lists of :class:`LogLine`; ``cause`` is a phrase on
+    how the request ended.
+    """
 
     lines: list
     related: list
     cause: str
 
     def render(self):
-        """Return the trace as text, one line each, in order of time."""
+        """Return the trace as text: one row per log line by time, then the cause."""
         rows = sorted(self.lines + self.related, key=lambda line: line.at)
         text = [_render(line) for line in rows]
         return "\n".join([*text, f"cause: {self.cause}"])
@@ -77,65 +87,74 @@
 
 
 def read_lines(files):
-    """Return the :class:`LogLine` of every line of ``files`` that is one."""
+    """Return the :class:`LogLine` objects in ``files``; other lines are skipped."""
     parsed = (LogLine.from_text(text) for file in files for text in file)
     return [line for line in parsed if line is not None]
 
 
-def trace(lines, request_id):
-    """Return the :class:`RequestTrace` of ``request_id``."""
-    own = [line for line in lines if line.fields.get("request") == request_id]
-    own.sort(key=lambda line: line.at)
-    return RequestTrace(own, _related(lines, own), explain(own))
+def build_trace(lines, request_id):
+    """Return the :class:`RequestTrace` of the request ``request_id``.
 
+    :param lines: :class:`LogLine` objects of all VMs, in any order.
+    """
+    own_lines = [line for line in lines if line.fields.get("request") == request_id]
+    own_lines.sort(key=lambda line: line.at)
+    return RequestTrace(own_lines, _related(lines, own_lines), find_cause(own_lines))
 
-def _related(lines, own):
-    if not own:
+
+def _related(lines, own_lines):
+    if not own_lines:
         return []
-    margin = datetime.timedelta(seconds=AROUND_SECONDS)
-    start, end = own[0].at - margin, own[-1].at + margin
-    processes = {line.process for line in own}
-    instances = {line.fields.get("instance") for line in own} - {None}
-    works = {line.fields.get("fingerprint") for line in own} - {None}
-    near = [
+    margin = datetime.timedelta(seconds=CONTEXT_SECONDS)
+    start, end = own_lines[0].at - margin, own_lines[-1].at + margin
+    processes = {line.process for line in own_lines}
+    instances = {line.fields.get("instance") for line in own_lines} - {None}
+    fingerprints = {line.fields.get("fingerprint") for line in own_lines} - {None}
+    context = [
         line
         for line in lines
         if start <= line.at <= end
         and line.process in processes
-        and _explains(line, instances)
+        and _is_context(line, instances)
     ]
-    return near + [
+    return context + [
         line
         for line in lines
         if line.at <= end
-        and line.event in WORK_EVENTS
-        and line.fields.get("fingerprint") in works
+        and line.event in CRASH_EVENTS
+        and line.fields.get("fingerprint") in fingerprints
     ]
 
 
-def _explains(line, instances):
+def _is_context(line, instances):
     if line.event in PROCESS_EVENTS:
         return True
-    return line.event in BELIEFS and line.fields.get("instance") in instances
+    return line.event in INSTANCE_EVENTS and line.fields.get("instance") in instances
+
 
+def find_cause(own_lines):
+    """Return a phrase on how a request ended, derived from its own lines.
 
-def explain(own):
-    """Return one sentence on how a request ended, from its own lines."""
-    if not own:
+    :param own_lines: the request's :class:`LogLine` objects by time; may be empty.
+    """
+    if not own_lines:
         return "no line names this request: no VM took it, or its lines were dropped"
-    ends = [line for line in own if line.event in ("answered", "client left")]
+    ends = [line for line in own_lines if line.event in ("answered", "client left")]
     if ends:
-        return _explain_end(ends[-1].fields, own, ends[-1].event)
-    rejected = [line for line in own if line.event == "rejected"]
+        return _describe_end(ends[-1].fields, own_lines, ends[-1].event)
+    rejected = [line for line in own_lines if line.event == "rejected"]
     if rejected:
         fields = rejected[-1].fields
         return f"answered {fields['status']} by the VM itself: {fields['reason']}"
-    return f"no end is logged: {own[-1].process} ended or lost power while it ran"
+    return f"no end is logged: {own_lines[-1].process} ended or lost power while it ran"
 
 
-def _explain_end(fields, own, event):
+def _describe_end(fields, own_lines, event):
     if event == "client left":
-        return f"the client left after {fields['seconds']} s, {_progress(fields, own)}"
+        return (
+            f"the client left after {fields['seconds']} s, "
+            f"{_describe_progress(fields, own_lines)}"
+        )
     if fields["code"] == "OK" and fields.get("first_event"):
         first = f"first event after {fields['first_event']} s"
         return f"answered whole: {first}, {fields['seconds']} s in all"
@@ -144,11 +163,11 @@
     return f"{fields['code']} after {fields['seconds']} s: {fields['cause']}"
 
 
-def _progress(fields, own):
-    """Say how far a request was whose client has left."""
+def _describe_progress(fields, own_lines):
+    """Return how far a request had come when its client left."""
     if fields.get("first_event"):
         return f"{fields['first_event']} s after its arrival it got its first event"
-    sends = [line for line in own if line.event == "send"]
+    sends = [line for line in own_lines if line.event == "send"]
     if sends:
         return f"before {sends[-1].fields['instance']} gave a first event"
     if fields.get("prefills"):
--- a/tests/test_faultproxy.py
+++ b/tests/test_faultproxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy itself: what a test of a failure relies on."""
+"""The fault-injecting proxy that failure tests rely on."""
 
 import asyncio
 import socket
@@ -11,10 +11,12 @@
 
 @pytest.mark.parametrize("mode", ["pass", "kill", "delay"])
 def test_partition_refuses_connections_and_keeps_its_port(mode):
-    """A proxy is closed for a while. Another process that looks for a free
-    port at that moment takes the proxy's, and the proxy can't be opened again:
-    a run of tests fails for no fault of the product. The port stays taken, new
-    connections are refused, and later they are accepted."""
+    """Guards against a proxy that loses its port during a partition.
+
+    If another process took the free port meanwhile, the proxy couldn't be opened again
+    and a test would fail although the product has no fault. The port stays bound,
+    new connections are refused, and they are accepted after the partition.
+    """
 
     async def go():
         target, port = free_ports(2)
@@ -33,10 +35,13 @@
     asyncio.run(go())
 
 
-def test_proxy_is_closed_and_opened_more_than_once():
-    """A network is cut, heals, and is cut again. A proxy that can be closed only
-    once goes on forwarding in the second cut, and then can't be opened again:
-    a test of two cuts proves nothing, or fails for no fault of the product."""
+def test_repeated_partitions_refuse_connections():
+    """Guards against a proxy that can be closed only once.
+
+    It would go on forwarding in the second partition and couldn't be opened again
+    after it: a test with two partitions would prove nothing, or fail although the
+    product has no fault.
+    """
 
     async def go():
         target, port = free_ports(2)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Checked settings: every wrong key, type or range is refused by name."""
+"""Settings files: invalid ones are refused with the name of the wrong key."""
 
 import pytest
 
@@ -24,7 +24,7 @@
         ("[deployment]", "[deployment", "not TOML"),
     ],
 )
-def test_bad_settings_are_refused_by_name(old, new, named):
+def test_invalid_settings_error_names_the_key(old, new, named):
     assert old in GOOD
     with pytest.raises(SettingsError) as caught:
         parse_settings(GOOD.replace(old, new, 1))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the log lines of several VMs."""
+"""Traces of a request from the log lines of several VMs."""
 
 import json
 import pathlib
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulberrydock.trace import LogLine, read_lines, trace
+from mulberrydock.trace import LogLine, build_trace, read_lines
 
 ROOT = pathlib.Path(__file__).parents[1]
 START = "2026-01-01T10:00:00.%03dZ"
@@ -55,16 +55,22 @@
 
 @pytest.mark.parametrize(("rows", "cause"), CASES.values(), ids=CASES)
 def test_cause_of_a_request(rows, cause):
-    """A user complains about one request and knows its id. Whatever became of
-    it, its lines alone say how it ended, or that its VM ended with it."""
+    """The request's own lines say how it ended, or that its VM ended before it.
+
+    Guards against a way for a request to end that an operator, who knows only the
+    request's id, can't find in the logs.
+    """
     lines = read_lines([[*rows, line(1, "answered", request="r2", code="OK")]])
-    assert cause in trace(lines, "r1").cause
+    assert cause in build_trace(lines, "r1").cause
+
 
+def test_trace_is_ordered_and_includes_lines_about_its_engines():
+    """An engine terminates while it serves a request.
 
-def test_lines_of_several_vms_come_in_order_with_what_explains_them():
-    """An engine dies under a request. Its VM's lines about that engine are
-    shown between the request's own; other engines' and other VMs' are not, and
-    text that is no log line, or stands before one, does no harm."""
+    The trace contains the lines of the request's VM about that engine, in order of
+    time, and none about other engines or from other VMs. Text that isn't a log line and
+    a log collector's prefix are skipped.
+    """
     first = [
         "not a log line",
         "collector-7 " + line(200, "instance gone", instance="e1", reason="lapsed"),
@@ -72,7 +78,7 @@
         SENT,
     ]
     second = [line(210, "instance gone", process="entry-2", instance="e1")]
-    found = trace(read_lines([first, second]), "r1")
+    found = build_trace(read_lines([first, second]), "r1")
     assert [row.event for row in found.lines + found.related] == [
         "send",
         "instance gone",
@@ -80,9 +86,12 @@
     assert found.render().splitlines()[1].startswith("10:00:00.200000 entry-1")
 
 
-def test_refused_for_what_other_vms_saw():
-    """A client is refused at once, by a VM that never sent its request anywhere. Three
-    engines had ended under the same work, at two other VMs, minutes before."""
+def test_trace_of_quarantined_request_shows_crashes_seen_by_other_vms():
+    """A VM refuses a request that it never sent to an engine.
+
+    Three engines had crashed under the same work before, seen by two other VMs.
+    Without their lines the refusal can't be explained.
+    """
     crash = {"event": "instance crashed", "fingerprint": "f1"}
     others = [
         line(10, process="entry-2", instance="e1", crashes=1, **crash),
@@ -94,20 +103,20 @@
         line(900, "rejected", request="r1", status=503, reason="3 instances crashed"),
         line(901, "answered", fingerprint="f1", code="QUARANTINED", cause="3", **ENDED),
     ]
-    found = trace(read_lines([own, others]), "r1")
+    found = build_trace(read_lines([own, others]), "r1")
     assert [row.fields["instance"] for row in found.related] == ["e1", "e2", "e3"]
     assert found.render().splitlines()[0].startswith("10:00:00.010000 entry-2")
 
 
-def test_no_log_line_is_none():
-    """Tracebacks and half a line at a file's end stand among the lines."""
+def test_text_that_is_no_log_line_is_skipped():
+    """Log files also contain tracebacks and, at their end, an incomplete line."""
     for text in ("", "{", "[1]", '{"at":"x"}', '{"at":"2026-01-01T00:00:00Z"}'):
         assert LogLine.from_text(text) is None
 
 
 def test_every_log_event_is_listed_for_operators():
-    """On-call engineers look an event up in the operators' page. An event that
-    the code writes and the page lacks leaves them guessing."""
+    """Guards against a log event that the code writes but docs/OPERATIONS.md, where
+    operators look events up, doesn't describe."""
     modules = "serve serving relay front sends peers membership instances"
     modules += (
         " stage_controller lease route_table watch prefill instance_feed estimates"
--- a/tools/generate_settings.py
+++ b/tools/generate_settings.py
@@ -1,8 +1,8 @@
-"""Generate the settings classes from the settings schemas.
+"""Generates the settings classes from the JSON schemas of the settings.
 
-Run ``python tools/generate_settings.py`` after changing a schema under
-``src/mulberrydock/schema``; the output is committed so that installing the
-package needs no generator.
+Run ``python tools/generate_settings.py`` after changing a schema in
+``src/mulberrydock/schema``. The generated modules are committed, so that installing the
+package doesn't require this script.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "src" / "mulberrydock"
-#: Each schema under ``schema/`` and the module generated from it.
+#: Schema in ``schema/`` -> module generated from it.
 MODELS = {
     "settings.schema.json": "_settings_model.py",
     "serve.schema.json": "_serve_model.py",
@@ -49,7 +49,11 @@
 
 
 def generate(schema, source):
-    """Return the module text for ``schema``, parsed from the file ``source``."""
+    """Return the source of the module with the classes of a schema.
+
+    :param schema: the parsed JSON schema.
+    :param source: file name of the schema, for the module's docstring.
+    """
     parts = [
         f'"""Settings classes generated from schema/{source}."""',
         "",
