--- a/src/mulberrydock/log.py
+++ b/src/mulberrydock/log.py
@@ -17,7 +17,7 @@
 #: Lines written in one second at most; a VM at five times its usual load writes
 #: about 100.
 MAX_LINES_PER_SECOND = 300
-#: Beyond that, lines of level warning and above are written up to this total.
+#: Beyond that, lines of level warning and above are still written up to this total.
 MAX_LINES_PER_SECOND_WITH_WARNINGS = 600
 
 
--- a/src/mulberrydock/metrics.py
+++ b/src/mulberrydock/metrics.py
@@ -58,7 +58,7 @@
         )
 
     def tenant_label(self, tenant):
-        """Return the label for ``tenant``, :data:`OTHER_TENANTS_LABEL` beyond the bound.
+        """Return the label for ``tenant``; beyond the bound, OTHER_TENANTS_LABEL.
 
         Callers name their tenant in a header: without a bound, invented names would
         fill the daemon's memory with time series.
--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -15,7 +15,8 @@
 
 #: Lower bound of a client's idle timeout: no client abandons a stream earlier.
 MIN_CLIENT_IDLE_TIMEOUT_SECONDS = 2.0
-#: ``state`` of an instance that takes work, and of one that announced its departure.
+#: ``state`` of an instance that takes work, and of one that leaves after a planned
+#: notice.
 READY = "ready"
 DRAINING = "draining"
 #: Raised while decoding a malformed document; RecursionError by JSON that is nested
@@ -123,7 +124,7 @@
             slots=_count(row["slots"], "slots"),
             draining=_draining(row["state"]),
             stage=_stage(row.get("stage")),
-            started_at_ms=_born(row),
+            started_at_ms=_started_at_ms(row),
         )
     except DECODE_ERRORS as error:
         raise SettingsError(f"{key}: invalid instance record: {error!r}") from error
@@ -142,7 +143,7 @@
             # In a report "sequence" counts accepted orders; in an instance record
             # the field of the same name counts heartbeats.
             _count(row["sequence"], "sequence"),
-            _born(row),
+            _started_at_ms(row),
         )
     except DECODE_ERRORS as error:
         raise UpstreamError(f"invalid engine report: {error!r}") from error
@@ -198,5 +199,5 @@
     return Stage(value)
 
 
-def _born(row):
+def _started_at_ms(row):
     return _count(row["born"], "born") if "born" in row else None
--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -33,8 +33,8 @@
     Attributes that an owner may set or read:
 
     - ``on_answer``: called after each call, with True when the store answered it.
-    - ``on_era_change``: called when an answer shows a higher era than the last known one,
-      that is after the store was restored from an older copy.
+    - ``on_era_change``: called when an answer shows a higher era than the last known
+      one, that is after the store was restored from an older copy.
     - ``era``: the highest era seen, None before the first answer.
 
     :param address: ``host:port`` of the store.
--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -85,17 +85,18 @@
     :param prefill_refusals: for each element one prefill call is refused; several
         engines may share the list, so that whichever is called first refuses.
     :param faults: a :class:`Fault` for each of the next requests, in order.
-    :param born: start of the incarnation in Unix milliseconds, None when its record
-        and report don't state it.
+    :param started_at_ms: start of the incarnation in Unix milliseconds, None when its
+        record and report don't state it.
     :param crash_marker: a request whose body contains these bytes crashes the process.
     :param on_crash: called with this object when the process crashes.
     :param on_restart: called with this object after the process has restarted.
-    :param limit: rate limit that its answers declare, in requests per second.
+    :param rate_limit: rate limit that its answers declare, in requests per second.
 
     For assertions, ``runs`` lists the requests that it started to execute,
-    ``arrivals`` the ids of all that arrived, ``arrival_times`` their times in monotonic
-    seconds, ``prefills`` the ids of prefill calls, ``released`` the KV handles that
-    were released, and ``misdirected`` counts the calls meant for another instance.
+    ``arrived_ids`` the ids of all that arrived, ``arrival_times`` their times in
+    monotonic seconds, ``prefills`` the ids of prefill calls, ``released_handles`` the
+    KV handles that were released, and ``misdirected`` counts the calls meant for
+    another instance.
     """
 
     id: str
@@ -158,7 +159,7 @@
     def restart(self, started_at_ms):
         """Restart under the same id, without the state of the previous incarnation.
 
-        :param born: start of the new incarnation in Unix milliseconds.
+        :param started_at_ms: start of the new incarnation in Unix milliseconds.
         """
         self.started_at_ms = started_at_ms
         self.orders = []
