--- a/src/mulberrydock/standin/engine.py
+++ b/src/mulberrydock/standin/engine.py
@@ -336,7 +336,10 @@
 
 
 class CacheEventsHandler(_EngineHandler):
-    """``GET /v1/cache_events?after=N``: cache events published since number N."""
+    """``GET /v1/cache_events?after=N``: cache events after number N.
+
+    They are published late, and some never.
+    """
 
     def get(self):
         after = int(self.get_argument("after", "0"))
--- a/src/mulberrydock/standin/store.py
+++ b/src/mulberrydock/standin/store.py
@@ -57,7 +57,7 @@
 class Faults:
     """Failures to inject.
 
-    ``outage`` answers every call with 503, ``delay_seconds`` delays every call, and
+    ``outage`` answers every call 503; ``delay_seconds`` delays every call;
     ``lose_answers`` is the number of writes whose answers are still to be dropped.
     """
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize(("rows", "cause"), CASES.values(), ids=CASES)
 def test_cause_of_a_request(rows, cause):
-    """The request's own lines say how it ended, or that its VM ended before it.
+    """The request's own lines say how it ended, or that its VM ended while it ran.
 
     Guards against a way for a request to end that an operator, who knows only the
     request's id, can't find in the logs.
