--- a/src/mulberrydock/experiment.py
+++ b/src/mulberrydock/experiment.py
@@ -2,7 +2,7 @@
 
 Each run starts a new fleet, sends a seeded load and injects the scheduled faults at
 their times. Afterwards it reads from the engines and services what they ran: calls that
-were lost or ran twice are counted there, not from the clients' answers.
+were lost or ran twice are counted there, not from the clients' responses.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from . import ctl, fleet
 from .load import on_target_share, run_phases, shift_phases, summarise
 
-#: Result code of an answer which states that the call did not run.
+#: Result code of a response which states that the call did not run.
 NOT_RUN_CODE = 300
 
 
--- a/src/mulberrydock/load.py
+++ b/src/mulberrydock/load.py
@@ -1,7 +1,7 @@
 """Load generator: sends a deployment's request mix to its entries.
 
 The client behaves as the deployments' clients do: it asks an entry for the entry list,
-caches it for its ttl, chooses an entry, and sends its request there. Each answer is
+caches it for its ttl, chooses an entry, and sends its request there. Each response is
 checked for completeness and for its request's id. The report counts per class the
 requests that were answered once, completely and within their deadline.
 """
@@ -30,8 +30,8 @@
     :param shared_tokens: the part of the prompt that is the tenant's template for this
         class, equal in all its requests.
     :param own_tokens: the part of the prompt that is the request's own.
-    :param max_tokens: the length of the answer.
-    :param stream: whether the answer is streamed.
+    :param max_tokens: the length of the response.
+    :param stream: whether the response is streamed.
     :param service: the kind of service that a route other than ``completion`` and
         ``chat`` calls.
     """
@@ -134,11 +134,11 @@
 class Result:
     """The result of one request as the client saw it.
 
-    :param ok: whether the final answer has status 200.
-    :param complete: whether the answer is complete and this request's own.
-    :param seconds: the time from the first attempt to the final answer.
+    :param ok: whether the final response has status 200.
+    :param complete: whether the response is complete and this request's own.
+    :param seconds: the time from the first attempt to the final response.
     :param deadline: the deadline of the request's class, in seconds.
-    :param code: the result code of the last answer, 0 without one.
+    :param code: the result code of the last response, 0 without one.
     :param key: the idempotency key.
     :param first_token: seconds until the first chunk, for streams only.
     :param gaps: seconds between the chunks, for streams only.
@@ -314,7 +314,7 @@
 
 
 def _is_complete(kind, response, body):
-    """Return whether an answer is complete and carries this request's id only."""
+    """Return whether a response is complete and carries this request's id only."""
     if kind.route not in ("completion", "chat"):
         return bool(body)
     request_id = response.headers.get(defaults.REQUEST_ID_HEADER, "")
@@ -381,7 +381,7 @@
 def summarise(results, key=lambda r: r.klass):
     """Return one row per value of ``key``, in sorted order.
 
-    A row has the counts, percentiles of the answer times in seconds, and for streams
+    A row has the counts, percentiles of the response times in seconds, and for streams
     the 95th percentile of the time to the first token and of the gaps.
     """
     rows = []
@@ -431,5 +431,5 @@
         lines.append("  ".join(f"{row[c]!s:>10}" for c in columns))
     total = sum(r["sent"] for r in rows)
     good = sum(r["good"] for r in rows)
-    lines.append(f"goodput: {good}/{total} answered once, whole and in time")
+    lines.append(f"goodput: {good}/{total} answered once, completely and in time")
     return "\n".join(lines)
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -61,7 +61,7 @@
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError("condition not met in time")
+    raise AssertionError(f"condition not met within {seconds} s")
 
 
 def route(prefix, kind, service, **options):
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -3,7 +3,7 @@
 Several ``mulberrydock serve`` processes run against stand-ins of the store, engines and
 services, each behind a loopback proxy. The seed decides which faults happen and when:
 connections are delayed, reset, cut or silenced; daemons are paused, killed, stopped and
-restarted; the store refuses, stops answering, loses answers and loses its history;
+restarted; the store refuses, stops answering, loses responses and compacts its history;
 instances misbehave, drain and are replaced; one request crashes whatever runs it and is
 sent repeatedly. Clients reuse open connections until these are closed. The faults
 follow the seed, but the timing of what they hit differs a little from run to run: a
@@ -80,8 +80,8 @@
 class Outcome:
     """One request as its client saw it.
 
-    :param status: the answer's status, 0 without an answer.
-    :param complete: whether the answer was read to its end.
+    :param status: the response's status, 0 without a response.
+    :param complete: whether the response was read to its end.
     """
 
     id: str
@@ -181,7 +181,7 @@
 
     def compact_history(self):
         self.fleet.call_on_loop(self.fleet.store.compact_history)
-        return "store loses its history"
+        return "store compacts its history"
 
     def break_instance(self):
         engine = self.random.choice(list(self.fleet.engines.values()))
@@ -355,7 +355,7 @@
                 tokens = draw.choice(("100,10", "2000,10", "9000,10"))
                 closing = self._exchange(connection, outcome, tokens)
             except Exception as error:  # http.client raises its own, unlisted
-                # No valid answer: what the daemon did is checked by the instances'
+                # No valid response: what the daemon did is checked by the instances'
                 # runs.
                 closing, outcome.body = True, repr(error).encode()
             self.outcomes.append(outcome)
@@ -382,7 +382,7 @@
                 runs.setdefault(run.id, []).append((engine, run))
         violations = []
         for outcome in self.outcomes:
-            violations += _answer_violations(outcome)
+            violations += _response_violations(outcome)
             violations += _run_violations(outcome, runs.pop(outcome.id, []))
         violations += [
             f"UNASKED: {request} ran, but no client sent it" for request in runs
@@ -410,8 +410,8 @@
                     newest = row["version"]
 
 
-def _answer_violations(outcome):
-    """Return what is wrong with one answer as its client saw it."""
+def _response_violations(outcome):
+    """Return what is wrong with one response as its client saw it."""
     if outcome.status != 200 or not outcome.complete:
         return []
     if not outcome.signature:
@@ -421,7 +421,7 @@
         if event_ids(outcome.body) != STREAM_EVENT_IDS or own != len(STREAM_EVENT_IDS):
             return [f"ORDER: {outcome.id} got {outcome.body!r} as a complete stream"]
     elif not outcome.body.endswith(f" answers {outcome.id}".encode()):
-        return [f"MIXED: {outcome.id} got another answer: {outcome.body!r}"]
+        return [f"MIXED: {outcome.id} got another response: {outcome.body!r}"]
     return []
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -34,7 +34,7 @@
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError("condition not met in time")
+    raise AssertionError(f"condition not met within {timeout} s")
 
 
 def _leader(fleet):
@@ -141,10 +141,11 @@
     assert json.loads(events[-1][len(b"data: ") :])["error"]["code"] == 401
 
 
-# Guards against passing on another request's answer. An engine crosses two answers: no
-# byte of the wrong one may reach the client, which gets its own from the other engine.
+# Guards against passing on another request's response. An engine crosses two responses:
+# no byte of the wrong one may reach the client, which gets its own from the other
+# engine.
 @pytest.mark.parametrize("stream", [False, True])
-def test_crossed_answer_never_reaches_a_client(local_fleet, stream):
+def test_crossed_response_never_reaches_a_client(local_fleet, stream):
     port = local_fleet.engine_ports[0]
     local_fleet.post(f"127.0.0.1:{port}", "/v1/faults", {"crossed_answers": 100})
     body = {"model": "pass-letters-7b", "prompt": "x", "max_tokens": 3}
@@ -169,7 +170,7 @@
 
 
 # Guards against generating for a client that has left. A client disconnects before a
-# long answer comes: the engine's run must be cancelled within 3 s.
+# long response comes: the engine's run must be cancelled within 3 s.
 def test_caller_who_leaves_frees_the_engine(local_fleet):
     body = {"model": "pass-letters-7b", "prompt": "x", "max_tokens": 1500}
     host, port = local_fleet.settings.entries[0].address.split(":")
@@ -187,10 +188,10 @@
     _wait_until(lambda: counts("cancelled") == 1, timeout=3.0)
 
 
-# Guards against losing an unstreamed answer when the engine's connection goes silent.
+# Guards against losing an unstreamed response when the engine's connection goes silent.
 # Nothing has reached the client yet and generating may be repeated, so the entry sends
-# the request to the other engine, and the client gets one complete answer of its own.
-def test_unstreamed_answer_comes_from_another_engine_when_one_goes_silent(local_fleet):
+# the request to the other engine, and the client gets one complete response of its own.
+def test_unstreamed_response_comes_from_another_engine(local_fleet):
     body = {"model": "pass-letters-7b", "prompt": "x", "max_tokens": 100}
     address = local_fleet.settings.entries[0].address
     connection = http.client.HTTPConnection(*address.split(":"), timeout=30)
@@ -214,11 +215,11 @@
     assert document["choices"][0]["text"] == expected
 
 
-# Guards against running a non-idempotent call twice, or losing its answer, when the
-# store applies writes but loses their answers (of the claim, the completion, or both).
-# A repeat with the same key must get the stored answer without a second run.
+# Guards against running a non-idempotent call twice, or losing its response, when the
+# store applies writes but loses their responses (of the claim, the completion, or
+# both). A repeat with the same key must get the stored response without a second run.
 @pytest.mark.parametrize("lost", [1, 2, 3])
-def test_renewal_runs_once_when_store_answers_are_lost(local_fleet, lost):
+def test_renewal_runs_once_when_store_responses_are_lost(local_fleet, lost):
     local_fleet.store_faults(lose_answers=lost)
     response, first = _send_renewal(local_fleet, f"lost-{lost}")
     assert response.status == 200, first
@@ -246,9 +247,9 @@
 
 
 # Guards against holding a request until near its deadline when a partition cuts off
-# every engine. The client must get its final answer at once, with Retry-After and the
+# every engine. The client must get its final response at once, with Retry-After and the
 # result code that says the request did not run.
-def test_no_engine_reachable_is_answered_at_once_with_retry_after(local_fleet):
+def test_request_without_reachable_engine_gets_503_at_once(local_fleet):
     for index in range(len(local_fleet.settings.engines)):
         local_fleet.fault(index, "partition")
     body = {"model": "pass-letters-7b", "prompt": "x", "max_tokens": 4}
@@ -265,7 +266,7 @@
     assert response.status == 503
     assert document["error"]["code"] == 202
     assert int(response.getheader("Retry-After")) >= 1
-    # Far below the 20 s deadline of the class "letter": the answer was not held.
+    # Far below the 20 s deadline of the class "letter": the response was not held.
     assert time.monotonic() - started < 10
 
 
@@ -467,8 +468,8 @@
 # Guards against orders of a controller that has lost its lease. The active one is
 # frozen (SIGSTOP) past its lease; the other takes the lease with a higher fencing token
 # and carries out version 2. The frozen one wakes during a store outage, so that it
-# still has version 1 and cannot get a newer one. It must change nothing on any
-# engine: neither on those that check the token nor on those that ignore it.
+# still has version 1 and cannot get a newer one. It must change nothing on any engine:
+# neither on those that check the token nor on those that ignore it.
 def test_paused_controller_changes_nothing_after_losing_its_lease(two_controllers):
     fleet = two_controllers
     holder, old_token = _leader(fleet)
--- a/tests/test_local_state.py
+++ b/tests/test_local_state.py
@@ -78,7 +78,7 @@
     back, nor an instance that is draining.
     """
     registry = make_registry("a", "b")
-    registry.left(registry.instances["a"], "address reused")
+    registry.mark_terminated(registry.instances["a"], "address reused")
     registry.put(record("a"), 5.0)
     assert serving(registry) == {"b"}
     registry.put(record("b", draining=True), 5.0)
@@ -108,8 +108,8 @@
         def valid(self, moment):
             return self.authority.valid(moment, 3.0)
 
-    duty = StageController(None, None, None, Lease(), "entry-1", 3.0)
-    assert duty.may_order(now) is may
+    controller = StageController(None, None, None, Lease(), "entry-1", 3.0)
+    assert controller.may_order(now) is may
 
 
 @pytest.mark.parametrize(
@@ -119,15 +119,15 @@
 def test_suspicion_after_failures_and_its_end(failures, unreachable, suspected):
     """An engine fails requests while its health check passes. A single failure happens
     on healthy engines too; a second in a row, or a refused connection, must send work
-    to other engines for a while, and an answer ends the suspicion.
+    to other engines for a while, and a response ends the suspicion.
     """
     suspicion = Suspicion()
     registry = make_registry("a", "b")
     for _ in range(failures):
         suspicion.record_failure("a", 10.0, unreachable)
     pool = registry.serving("s")
-    sound = {i.id for i in suspicion.healthy(pool, 10.1)}
-    assert sound == ({"b"} if suspected else {"a", "b"})
+    healthy = {i.id for i in suspicion.healthy(pool, 10.1)}
+    assert healthy == ({"b"} if suspected else {"a", "b"})
     later = 10.0 + FIRST_SUSPICION_SECONDS + 0.1
     assert len(suspicion.healthy(pool, later)) == 2
     suspicion.record_failure("a", 20.0, unreachable)
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -56,7 +56,7 @@
 )
 def test_request_is_served_once_and_passed_on_unchanged(fleet, prefix):
     """A request runs once, on the instance that it names, with path, query and body
-    unchanged. The client gets that instance's complete answer with its signature.
+    unchanged. The client gets that instance's complete response with its signature.
     """
     response = fleet.request(prefix, "r1")
     assert response.status == 200
@@ -120,8 +120,8 @@
 @pytest.mark.parametrize("prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH])
 def test_silent_instance_is_awaited_when_it_is_the_only_one(fleet, prefix):
     """An instance sends nothing for longer than the inter-event timeout and then goes
-    on, while every other one is draining. Abandoning it would lose the answer for
-    nothing: the daemon waits and the client gets the complete answer.
+    on, while every other one is draining. Abandoning it would lose the response for
+    nothing: the daemon waits and the client gets the complete response.
     """
     for engine in ("d2", "a2"):
         fleet.write(
@@ -152,9 +152,9 @@
     [Fault.CRASH_BEFORE_ANSWER, Fault.CUT, Fault.UNSIGNED],
 )
 def test_non_idempotent_call_whose_instance_dies_runs_once(fleet, fault):
-    """The instance dies after it took a non-idempotent call, or its answer is damaged.
-    The outcome is unknown: the client gets 502, which does not say that the call did
-    not run, and no second instance is asked.
+    """The instance dies after it took a non-idempotent call, or its response is
+    damaged. The outcome is unknown: the client gets 502, which does not say that the
+    call did not run, and no second instance is asked.
     """
     fleet.fail_next("app", fault)
     response = fleet.request(NON_IDEMPOTENT_PATH, "r6")
@@ -203,7 +203,7 @@
 )
 def test_idempotent_call_is_retried_on_another_instance(fleet, fault):
     """An idempotent call fails on one instance. The client gets the other instance's
-    complete answer within the deadline.
+    complete response within the deadline.
     """
     left = fleet.fail_next("app", fault)
     response = fleet.request(IDEMPOTENT_PATH, "r9")
@@ -213,10 +213,10 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.EXTRA, Fault.LATE_OTHER, Fault.UNFRAMED])
-def test_malformed_answers_never_reach_another_request(fleet, fault):
-    """An instance sends a second answer, first another request's answer, or one without
-    a length. On reused connections each client must get its own answer and nothing
-    else.
+def test_malformed_responses_never_reach_another_request(fleet, fault):
+    """An instance sends a second response, first another request's response, or one
+    without a length. On reused connections each client must get its own response and
+    nothing else.
     """
     for engine in ("a1", "a2"):
         fleet.engines[engine].faults.extend([fault] * 5)
@@ -287,7 +287,7 @@
 
 def test_hanging_instance_gives_504_at_the_route_timeout(fleet):
     """An instance hangs and the route's timeout is shorter than the client's deadline.
-    The final answer comes at the timeout, and is 504: the call was sent and may have
+    The final response comes at the timeout, and is 504: the call was sent and may have
     run.
     """
     rows = [route(NON_IDEMPOTENT_PATH, "non_idempotent", "app", timeout_ms=400)]
@@ -406,8 +406,8 @@
 
 
 def test_older_configuration_never_comes_into_force(fleet):
-    """The store loses its history and then shows an older configuration. The newer
-    version, with its route, stays in force.
+    """The store compacts its history and then shows an older configuration, which the
+    daemon reads in full. The newer version, with its route, stays in force.
     """
     fleet.write("op/config", config(9))
     wait_until(
@@ -448,9 +448,9 @@
     assert fleet.request(IDEMPOTENT_PATH, "o3").status == 200
 
 
-def test_vm_registers_despite_lost_store_answers(fleet):
-    """While a VM registers, the store applies its writes but loses the answers. The VM
-    retries until it gets an answer, and its peers list it.
+def test_vm_registers_despite_lost_store_responses(fleet):
+    """While a VM registers, the store applies its writes but loses the responses. The
+    VM retries until it gets a response, and its peers list it.
     """
     fleet.store.lose_write_answers = 3
     fleet.start("entry-2")
@@ -501,8 +501,8 @@
     fleet.wait_ready("entry-2")
     for engine in ("d1", "d2"):
         fleet.engines[engine].event_interval_seconds = 0.3
-    kept = fleet.connect()
-    assert fleet.request(IDEMPOTENT_PATH, "g0", kept).status == 200
+    idle_connection = fleet.connect()
+    assert fleet.request(IDEMPOTENT_PATH, "g0", idle_connection).status == 200
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "g1")
     wait_until(lambda: runs(fleet, "g1"))
@@ -511,7 +511,7 @@
     front = fleet.settings["entry-1"]["front"]
     directory = fleet.settings["entry-2"]["directory"]
     wait_until(lambda: str(front).encode() not in fleet.get(directory, "/resolve")[1])
-    response = fleet.request(IDEMPOTENT_PATH, "g2", kept)
+    response = fleet.request(IDEMPOTENT_PATH, "g2", idle_connection)
     assert (response.status, response.getheader("Connection")) == (200, "close")
     response = connection.getresponse()
     assert event_ids(response.read()) == [1, 2, 3, 4]
@@ -523,11 +523,11 @@
     its stream would outlast the process and be cut when the grace period ends. It gets
     503, which guarantees that it has not run, and the client asks another VM.
     """
-    kept = fleet.connect()
-    assert fleet.request(IDEMPOTENT_PATH, "l0", kept).status == 200
+    idle_connection = fleet.connect()
+    assert fleet.request(IDEMPOTENT_PATH, "l0", idle_connection).status == 200
     fleet.daemons["entry-1"].send_signal(signal.SIGTERM)
     wait_until(lambda: fleet.log_records("refusing new requests"))
-    response = fleet.request(IDEMPOTENT_PATH, "l1", kept)
+    response = fleet.request(IDEMPOTENT_PATH, "l1", idle_connection)
     assert response.status == 503
     assert float(response.getheader("Retry-After")) >= 0
     assert runs(fleet, "l1") == []
@@ -625,7 +625,7 @@
     connection = fleet.connect()
     send(connection, RESUMABLE_PATH, "reborn", **{wire.TOKEN_COUNTS: "5000,10"})
     wait_until(lambda: engine.prefills)
-    # The new incarnation registers while the old one's prefill answer is pending.
+    # The new incarnation registers while the old one's prefill response is pending.
     fleet.write("servers/p1", dict(engine.store_document(), born=2000))
     wait_until(lambda: fleet.log_records("instance gone"))
     fleet.loop.call_soon_threadsafe(gate.set)
--- a/tests/test_server_limit.py
+++ b/tests/test_server_limit.py
@@ -12,7 +12,7 @@
 LIMIT_PER_SECOND = 1.0
 #: Duration of the load.
 LOAD_SECONDS = 8.0
-#: The contact time: from the first answer with the limit until all VMs apply it.
+#: The contact time: from the first response with the limit until all VMs apply it.
 CONTACT_SECONDS = 2.2
 #: The window in which arrivals are counted, and the requests allowed in it beyond one
 #: and a half times the limit.
@@ -66,8 +66,8 @@
         name = VMS[number % len(VMS)]
         headers = {"X-Mulberrydock-Token-Counts": tokens}
         prefix = (RESUMABLE_PATH, STREAM_PATH)[number // len(VMS) % 2]
-        answer = fleet.request(prefix, f"r{number}", name=name, **headers)
-        assert answer.status in (200, 503)
+        response = fleet.request(prefix, f"r{number}", name=name, **headers)
+        assert response.status in (200, 503)
         number += 1
         time.sleep(0.03)
     counted = [at for at in engine.arrival_times if at - first > CONTACT_SECONDS]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,8 +8,8 @@
 def test_no_guarantee_is_violated_under_overlapping_faults(tmp_path, seed):
     """Connections break, daemons are paused and restarted, the store is unavailable and
     instances misbehave, overlapping and in an order that the seed decides. Each client
-    must get its own, complete answers; requests reported as not run must not have run;
-    and requests must be served again after the faults.
+    must get its own, complete responses; requests reported as not run must not have
+    run; and requests must be served again after the faults.
     """
     violations, outcomes = soak.play(tmp_path, seed, seconds=6.0, daemons=2)
     assert not violations
