--- a/src/mulberrydock/load.py
+++ b/src/mulberrydock/load.py
@@ -30,7 +30,7 @@
     :param shared_tokens: the part of the prompt that is the tenant's template for this
         class, equal in all its requests.
     :param own_tokens: the part of the prompt that is the request's own.
-    :param max_tokens: the length of the response.
+    :param max_tokens: tokens of the response.
     :param stream: whether the response is streamed.
     :param service: the kind of service that a route other than ``completion`` and
         ``chat`` calls.
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -228,7 +228,7 @@
     def request(self, prefix, request_id, connection=None, name="entry-1", **headers):
         """Send one request and read the response.
 
-        :returns: the response, with the body that arrived in ``text`` and in
+        :returns: the response, with the body that arrived in ``content`` and in
             ``complete`` whether that is the complete body.
         """
         own_connection = connection is None
@@ -236,10 +236,10 @@
         send(connection, prefix, request_id, **headers)
         response = connection.getresponse()
         try:
-            response.text = response.read()
+            response.content = response.read()
             response.complete = True
         except (http.client.IncompleteRead, ConnectionError) as error:
-            response.text = getattr(error, "partial", b"")
+            response.content = getattr(error, "partial", b"")
             response.complete = False
         if own_connection:
             connection.close()
@@ -268,6 +268,6 @@
     connection.request("POST", f"{prefix}x?q=1", body, fields)
 
 
-def event_ids(text):
+def event_ids(stream):
     """Return the ids of the events in a stream's bytes."""
-    return [int(line[3:]) for line in text.split(b"\n") if line.startswith(b"id:")]
+    return [int(line[3:]) for line in stream.split(b"\n") if line.startswith(b"id:")]
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -68,7 +68,7 @@
 CRASHING_BODY = b"crash"
 CRASH_INTERVAL_SECONDS = (0.3, 1.2)
 #: Crashes after which the request must be quarantined, and how many sends of it may
-#: still reach instances once the contact time is over.
+#: still reach instances once the contact time has passed.
 CRASH_LIMIT = 3
 MAX_SENDS_AFTER_CRASHES = 3
 #: The contact time: all VMs know of the crashes, as in the daemons' settings, and
@@ -310,7 +310,7 @@
         outcome = Outcome(request_id, RESUMABLE_PATH, CRASHING_BODY)
         try:
             self._exchange(self.fleet.connect(name), outcome, "100,10")
-        except Exception as error:  # http.client raises its own, unlisted
+        except Exception as error:  # http.client raises undocumented exceptions
             outcome.body = repr(error).encode()
         self.outcomes.append(outcome)
 
@@ -354,7 +354,7 @@
                     connection.timeout = CLIENT_TIMEOUT_SECONDS
                 tokens = draw.choice(("100,10", "2000,10", "9000,10"))
                 closing = self._exchange(connection, outcome, tokens)
-            except Exception as error:  # http.client raises its own, unlisted
+            except Exception as error:  # http.client raises undocumented exceptions
                 # No valid response: what the daemon did is checked by the instances'
                 # runs.
                 closing, outcome.body = True, repr(error).encode()
@@ -443,7 +443,7 @@
     return violations
 
 
-def play(directory, seed, seconds, daemons):
+def run_soak(directory, seed, seconds, daemons):
     """Run one seed; return (violations, outcomes)."""
     soak = Soak.from_seed(directory, seed, daemons)
     try:
@@ -464,7 +464,7 @@
     """
     seed = seed or random.randrange(1, 10**9)
     directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    violations, outcomes = play(directory, seed, seconds, daemons)
+    violations, outcomes = run_soak(directory, seed, seconds, daemons)
     counts = collections.Counter((o.status, o.complete) for o in outcomes)
     print(f"seed {seed}: {len(outcomes)} requests, by (status, complete): {counts}")
     print(
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -109,7 +109,7 @@
         fleet.engines[engine].event_interval_seconds = EVENT_INTERVAL_SECONDS
     fleet.fail_next("llm", fault)
     response = fleet.request(RESUMABLE_PATH, "r3")
-    assert response.complete and event_ids(response.text) == [1, 2, 3, 4]
+    assert response.complete and event_ids(response.content) == [1, 2, 3, 4]
     first, second = sorted(runs(fleet, "r3"), key=lambda r: r.last_event_id)
     assert (first.last_event_id, second.last_event_id) == (0, 2)
     assert response.getheader(wire.SIGNATURE) == (
@@ -119,8 +119,8 @@
 
 @pytest.mark.parametrize("prefix", [RESUMABLE_PATH, IDEMPOTENT_PATH])
 def test_silent_instance_is_awaited_when_it_is_the_only_one(fleet, prefix):
-    """An instance sends nothing for longer than the inter-event timeout and then goes
-    on, while every other one is draining. Abandoning it would lose the response for
+    """An instance sends nothing for longer than the progress timeout and then goes on,
+    while every other one is draining. Abandoning it would lose the response for
     nothing: the daemon waits and the client gets the complete response.
     """
     for engine in ("d2", "a2"):
@@ -205,11 +205,11 @@
     """An idempotent call fails on one instance. The client gets the other instance's
     complete response within the deadline.
     """
-    left = fleet.fail_next("app", fault)
+    remaining_faults = fleet.fail_next("app", fault)
     response = fleet.request(IDEMPOTENT_PATH, "r9")
     assert (response.status, response.complete) == (200, True)
-    assert response.text.endswith(b"r9")
-    assert not left
+    assert response.content.endswith(b"r9")
+    assert not remaining_faults
 
 
 @pytest.mark.parametrize("fault", [Fault.EXTRA, Fault.LATE_OTHER, Fault.UNFRAMED])
@@ -224,7 +224,7 @@
     for number in range(12):
         response = fleet.request(NON_IDEMPOTENT_PATH, f"t{number}", connection)
         assert response.status == 200
-        assert response.text.decode().endswith(f"answers t{number}")
+        assert response.content.decode().endswith(f"answers t{number}")
     connection.close()
 
 
@@ -326,7 +326,7 @@
     for number in range(6):
         response = fleet.request(NON_IDEMPOTENT_PATH, f"y{number}")
         assert response.status == 200
-        assert response.text.startswith(b"a2")
+        assert response.content.startswith(b"a2")
     assert old.runs == []
 
 
@@ -343,7 +343,7 @@
     response = fleet.request(
         RESUMABLE_PATH, "pr1", X_Mulberrydock_Token_Counts="9000,10"
     )
-    assert event_ids(response.text) == [1, 2, 3, 4]
+    assert event_ids(response.content) == [1, 2, 3, 4]
     assert prefill.misdirected == 1
 
 
@@ -386,8 +386,8 @@
 def test_refused_prefill_is_not_retried_in_a_loop(fleet):
     """Both decode engines are suspected after failures, and the prefill engine's
     address now belongs to another one, which refuses. The request must not alternate
-    between them: each round takes a send from the retry budget that all VMs share,
-    hundreds a second.
+    between them: each round, of hundreds a second, would take a send from the budget
+    that all VMs share.
     """
     prefill = fleet.add_instance("p1", "llm", "prefill")
     wait_until(lambda: '"instance":"p1"' in fleet.log())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,6 +11,6 @@
     must get its own, complete responses; requests reported as not run must not have
     run; and requests must be served again after the faults.
     """
-    violations, outcomes = soak.play(tmp_path, seed, seconds=6.0, daemons=2)
+    violations, outcomes = soak.run_soak(tmp_path, seed, seconds=6.0, daemons=2)
     assert not violations
     assert any(outcome.status == 200 for outcome in outcomes)
