--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -419,7 +419,7 @@
     rows = [route(IDEMPOTENT_PATH, "idempotent", "llm")]
     fleet.write("op/config", config(5, rows))
     time.sleep(0.5)
-    assert fleet.request(IDEMPOTENT_PATH, "z1").text.startswith(b"a")
+    assert fleet.request(IDEMPOTENT_PATH, "z1").content.startswith(b"a")
     assert fleet.request(NON_IDEMPOTENT_PATH, "z2").status == 200
     versions = [r["version"] for r in fleet.log_records("configuration in force")]
     assert versions == sorted(versions)
