--- a/src/mulberrydock/demand.py
+++ b/src/mulberrydock/demand.py
@@ -83,8 +83,9 @@
         self.peers[peer] = (demand, now)
 
     def total(self, now, peers=None):
-        """Return the :class:`Demand` a second of this VM and of all peers whose reports
-        haven't expired.
+        """Return the :class:`Demand` a second of this VM and its peers together.
+
+        A peer whose report has expired doesn't count.
 
         :param peers: names of the peers to count, None for all of them.
         """
--- a/src/mulberrydock/estimates.py
+++ b/src/mulberrydock/estimates.py
@@ -89,8 +89,10 @@
         self.pool(service).demand.record(demand, now)
 
     def record_sample(self, sample, now):
-        """Record a :class:`PrefillSample` of this VM, also for its peers: alone, each
-        VM would see too few of them to estimate an engine's speed."""
+        """Record a :class:`PrefillSample` of this VM, also to be sent to its peers.
+
+        Alone, each VM would see too few of them to estimate an engine's speed.
+        """
         self.samples.append(sample)
         self.apply_samples([sample], now)
 
--- a/src/mulberrydock/load_report.py
+++ b/src/mulberrydock/load_report.py
@@ -33,9 +33,9 @@
 
 
 class LoadPoller:
-    """Polls every engine of a router; one that doesn't answer keeps its last report
-    until that expires.
+    """Polls every engine of a router.
 
+    An engine that doesn't answer keeps its last report until that expires.
     ``last_seq`` maps names of engines to the sequence of their last cache event.
 
     :param router: the :class:`~mulberrydock.routing.Router` of the engines.
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -24,7 +24,7 @@
 MIN_SUSPECTING_PEERS = 2
 #: Share of the longest prompt that still has to be prefilled when a more urgent one
 #: arrives. If it is being prefilled, that is half of it on average; with the whole of
-#: it, short prompts avoid engines where long ones wait and leave them to these.
+#: it, short prompts avoid engines where long ones wait and leave those engines to them.
 LONGEST_SHARE = 1.0
 
 
@@ -33,8 +33,8 @@
     """Unfinished work at an instance.
 
     ``running`` counts requests; ``prefill`` are the prompt tokens still to be
-    prefilled, by urgency: the most urgent ones at index 0, none less urgent than its
-    length. ``longest`` are the tokens of the longest of these prompts.
+    prefilled, by urgency: the most urgent ones at index 0, none for an urgency beyond
+    its end. ``longest`` are the tokens of the longest of these prompts.
     """
 
     running: int = 0
@@ -148,8 +148,10 @@
         self.sum_sequences = {}
 
     def cordon(self, instance_id, until):
-        """Cordon an instance that changes its stage: until then it gets no new work,
-        neither from this VM nor from the peers that receive its reports.
+        """Cordon an instance that changes its stage.
+
+        Until then it gets no new work, neither from this VM nor from the peers that
+        receive its reports.
 
         :param until: monotonic seconds.
         """
@@ -168,9 +170,9 @@
         return cordoned
 
     def direct_cordoned(self, now):
-        """Return the instances cordoned by this VM or by a peer that reports to it
-        directly.
+        """Return the instances cordoned by this VM or by a direct peer.
 
+        A direct peer sends its reports to this VM itself, not in a sum.
         Only these are passed on in a sum: those received in another sum would be sent
         back and forth between data centres for ever.
         """
@@ -180,8 +182,10 @@
         return cordoned
 
     def begin(self, instance_id, tokens, urgency=0):
-        """Count a send whose prompt has ``tokens`` to prefill; return its
-        :class:`InFlightSend`."""
+        """Count a send and return its :class:`InFlightSend`.
+
+        :param tokens: those of its prompt that have to be prefilled.
+        """
         send = InFlightSend(self, instance_id, tokens, urgency)
         self.sends.setdefault(instance_id, set()).add(send)
         return send
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -99,8 +99,9 @@
     ``tokens`` is the prefill work, in tokens without context; ``cached`` tokens of the
     prompt need no prefill. ``wait`` is the estimate of seconds to the first token,
     ``prefill_seconds`` the part of it that prefilling the prompt takes, ``queued`` the
-    work that is prefilled first. ``urgency`` is the priority at the engine that
-    prefills. ``decode_slots_full`` is True when all decode engines' slots are in use.
+    work that is prefilled before it, in the unit of ``tokens``. ``urgency`` is the
+    priority at the engine that prefills. ``decode_slots_full`` is True when the slots
+    of all decode engines are in use.
     """
 
     target: object
@@ -164,7 +165,7 @@
 
 
 def is_short(prefill_seconds, objective):
-    """Return whether a decode engine may prefill a prompt without harm to its streams.
+    """Return whether a decode engine may prefill a prompt without delaying its streams.
 
     :param prefill_seconds: time that a prefill engine takes for it.
     :param objective: the route's latency objective in seconds.
@@ -267,8 +268,9 @@
         )
 
     def _document_owner(self, prompt, cached_by_id, instances):
-        """Return the engine that should prefill the prompt's document for the fleet,
-        None when an engine is known to have it cached.
+        """Return the engine that should prefill the prompt's document for the fleet.
+
+        It is None when an engine is known to have the document cached.
 
         :param cached_by_id: tokens of the prompt that each engine has cached. The
             rules that precede a document are cached by many engines, which says
--- a/src/mulberrydock/planner.py
+++ b/src/mulberrydock/planner.py
@@ -16,14 +16,14 @@
 #: Time constant of the average of demand, in seconds.
 DEMAND_SECONDS = 4.0
 #: Share of an engine's capacity that a plan may use.
-UTILISATION_LIMIT = 0.8
+UTILIZATION_LIMIT = 0.8
 #: Share of tokens that a prefill may delay before roles pay off: the latency objective
 #: covers 95 in 100 tokens.
 TOLERATED_DELAYED_SHARE = 0.05
 #: Seconds within which the gain of a role change must exceed its cost.
 PAYBACK_SECONDS = 60.0
 #: Time constant in seconds by which a peak of generation decays, so that a pool that
-#: just needed its engines for answers doesn't turn them into prefill engines.
+#: just needed its engines for generation doesn't turn them into prefill engines.
 PEAK_SECONDS = 120.0
 
 
@@ -76,8 +76,10 @@
 
 
 def decode_capacity(engine):
-    """Return the tokens a second that ``engine`` (settings) generates with a full
-    batch."""
+    """Return the tokens a second that an engine generates with a full batch.
+
+    :param engine: the engine's settings.
+    """
     rate = engine.decode_tokens_per_second / (1 + defaults.FULL_BATCH_SLOWDOWN)
     return engine.batch_size * rate
 
@@ -184,9 +186,9 @@
     """
     if prefilling == 0:
         stalled = max(0.0, demand.prefill / engines - TOLERATED_DELAYED_SHARE)
-        excess = demand.prefill + demand.decode - engines * UTILISATION_LIMIT
+        excess = demand.prefill + demand.decode - engines * UTILIZATION_LIMIT
         return min(1.0, stalled + max(0.0, excess) / engines)
-    limit = UTILISATION_LIMIT
+    limit = UTILIZATION_LIMIT
     excess = max(0.0, demand.prefill - prefilling * limit)
     excess += max(0.0, demand.decode - (engines - prefilling) * limit)
     return min(1.0, excess)
--- a/src/mulberrydock/policies.py
+++ b/src/mulberrydock/policies.py
@@ -138,8 +138,7 @@
             self.blocks[engine].discard(block)
 
     def cached_tokens(self, engine, work):
-        """Return the leading prompt tokens of ``work`` that ``engine`` likely has
-        cached."""
+        """Return how many leading prompt tokens ``engine`` likely has cached."""
         cached = self.blocks[engine]
         count = 0
         for block in work.blocks:
--- a/src/mulberrydock/prefill_cost.py
+++ b/src/mulberrydock/prefill_cost.py
@@ -57,16 +57,21 @@
 
 @attrs.define(frozen=True)
 class PrefillCost:
-    """Seconds of a prefill: ``overhead`` once, ``token`` for each token and ``pair``
-    for each pair of a token and one before it."""
+    """Seconds that a prefill takes.
+
+    ``overhead`` counts once, ``token`` for each token and ``pair`` for each pair of a
+    token and one before it.
+    """
 
     overhead: float = PRIOR_OVERHEAD
     token: float = PRIOR_TOKEN_SECONDS
     pair: float = PRIOR_TOKEN_SECONDS * PRIOR_ATTENTION
 
     def work(self, tokens, cached):
-        """Return the work of prefilling ``tokens`` after ``cached`` ones, in tokens
-        without context."""
+        """Return the work of prefilling ``tokens`` after ``cached`` ones.
+
+        It is counted in tokens without context: those with nothing before them.
+        """
         return int(tokens * (1 + self.pair / self.token * (cached + tokens / 2)))
 
     def seconds(self, work):
@@ -107,7 +112,7 @@
         """Record the prefill of a prompt that had no other before it in the queue.
 
         :param tokens: number of prefilled tokens, after ``cached`` ones.
-        :param seconds: from the call to its answer.
+        :param seconds: from the call to its response.
         """
         if tokens <= 0 or not 0 < seconds < math.inf:
             return
--- a/src/mulberrydock/prefix.py
+++ b/src/mulberrydock/prefix.py
@@ -35,7 +35,9 @@
 
 
 def routing_key(tokens):
-    """Return the hash of the first :data:`KEY_BLOCKS` blocks, empty for a shorter
-    prompt."""
+    """Return the hash of the first :data:`KEY_BLOCKS` blocks.
+
+    It is empty for a shorter prompt.
+    """
     hashes = block_hashes(tokens[: KEY_BLOCKS * defaults.CACHE_BLOCK_TOKENS])
     return hashes[-1] if len(hashes) == KEY_BLOCKS else ""
--- a/src/mulberrydock/prefix_cache.py
+++ b/src/mulberrydock/prefix_cache.py
@@ -51,8 +51,7 @@
         self.updates = {}
 
     def record_prefill(self, instance_id, prompt, capacity):
-        """Record that an engine prefilled a prompt, or fetched its KV cache, for this
-        VM.
+        """Record that an engine prefilled a prompt or fetched its KV cache for this VM.
 
         :param capacity: tokens of the engine's memory.
         """
--- a/src/mulberrydock/rate_limits.py
+++ b/src/mulberrydock/rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that instances declare in their answers, kept by all VMs together.
+"""Rate limits that instances declare in their responses, respected by all VMs.
 
 Needed when an instance is overloaded: its limit holds for all VMs together and counts
 every call. An equal share for each VM fails both ways: a hundred VMs with one call each
@@ -15,12 +15,12 @@
 
 from .rendezvous import rank
 
-#: Lowest rate in requests a second: with none at all, no answer would show that the
+#: Lowest rate in requests a second: with none at all, no response would show that the
 #: limit has ended.
 MIN_RATE = 0.1
-#: Answers in a row without a limit after which it has ended: the instance may have
+#: Responses in a row without a limit after which it has ended: the instance may have
 #: begun one of them before it declared the limit.
-CLEAR_ANSWERS = 2
+CLEAR_RESPONSES = 2
 #: Seconds for which a VM waits once it finds itself among the senders: another VM may
 #: not have noticed yet that it no longer is one.
 TAKEOVER_SECONDS = 1.0
@@ -40,15 +40,15 @@
     """The limit that an instance was last seen to declare.
 
     ``rate`` is in requests a second, None when the limit has ended; ``observed_at`` is
-    when an answer showed it and ``changed_at`` when this VM learned the rate, both in
-    monotonic seconds. ``clear_answers`` counts answers without a limit since then.
+    when a response showed it and ``changed_at`` when this VM learned the rate, both in
+    monotonic seconds. ``clear_responses`` counts those without a limit since then.
     """
 
     instance: str
     rate: float | None
     observed_at: float
     changed_at: float
-    clear_answers: int = 0
+    clear_responses: int = 0
 
 
 @attrs.define
@@ -103,8 +103,9 @@
     :param name: this VM's name.
     :param members: returns the names of the VMs that may send at a given time, this one
         included unless it is leaving; None when there is no other VM.
-    :param is_known: returns whether an instance is not terminated. Otherwise, VMs that
-        learn of its end at different times would send each other its limit for ever.
+    :param is_known: returns whether an instance is not terminated. If limits of
+        terminated ones were stored, VMs that learn of the end at different times would
+        send each other the limit for ever.
     """
 
     def __init__(
@@ -123,25 +124,26 @@
         self.shares = {}
 
     def observe(self, instance, rate, sent_at, now):
-        """Record an answer of an instance to this VM.
+        """Record a response of an instance to this VM.
 
-        :param rate: requests a second that the answer declares, None without a limit.
-        :param sent_at: when the request was sent; the answer to a request that is older
-            than the limit doesn't end it.
+        :param rate: requests a second that the response declares, None without a limit.
+        :param sent_at: when the request was sent; the response to a request that is
+            older than the limit doesn't end it.
         """
         known = self.limits.get(instance)
         if rate is not None:
             self._set(instance, max(MIN_RATE, rate), now, now)
         elif known is not None and (known.rate is None or sent_at > known.observed_at):
-            known.clear_answers += 1
-            if known.rate is None or known.clear_answers >= CLEAR_ANSWERS:
+            known.clear_responses += 1
+            if known.rate is None or known.clear_responses >= CLEAR_RESPONSES:
                 self._set(instance, None, now, now)
 
     def apply_update(self, instance, rate, observed_at, now):
         """Apply what another VM reported of an instance's limit.
 
         :param rate: as in :meth:`observe`.
-        :param observed_at: when an answer showed it to that VM, monotonic seconds here.
+        :param observed_at: when a response showed it to that VM, in monotonic seconds
+            of this one.
         """
         known = self.limits.get(instance)
         if known and observed_at <= known.observed_at + OBSERVATION_MARGIN_SECONDS:
--- a/src/mulberrydock/refusal.py
+++ b/src/mulberrydock/refusal.py
@@ -48,11 +48,11 @@
 
 
 def _refuse_late(plan, client_idle_timeout, left):
-    """Return the :class:`Refusal` of a stream whose first event is expected long after
-    its client times out, as it would only delay others; None for any other stream.
+    """Return the :class:`Refusal` of a stream that is expected late, or None.
 
-    A stream that is late because of its own prefill time is not refused: a retry would
-    take as long.
+    A stream is refused if its first event is expected long after its client times out,
+    as it would only delay others. One that is late because of its own prefill
+    time is not refused: a retry would take as long.
     """
     if (
         plan.wait <= client_idle_timeout * REFUSAL_WAIT_FACTOR
@@ -64,8 +64,9 @@
 
 
 def retry_after(found_instance, left):
-    """Return the seconds after which a refused client should retry, as far as its
-    deadline allows.
+    """Return the seconds after which a refused client should retry.
+
+    Without an instance, it is no more than a share of the time until the deadline.
 
     :param found_instance: whether there was any instance to ask.
     :param left: seconds until the request's deadline.
--- a/src/mulberrydock/routing.py
+++ b/src/mulberrydock/routing.py
@@ -166,8 +166,10 @@
         return excess * mean_output * self.step_seconds() / self.batch_size
 
     def step_seconds(self):
-        """Return the seconds between two tokens at the reported occupancy, without
-        prefills."""
+        """Return the seconds between two tokens at the reported occupancy.
+
+        Prefills, which delay tokens, aren't included.
+        """
         load = min(1.0, self.report.active / self.batch_size)
         return (1 + defaults.FULL_BATCH_SLOWDOWN * load) / self.decode_rate
 
@@ -180,7 +182,8 @@
     """Holds the upstreams of one kind and picks one for each request.
 
     ``leaving`` and ``listed_leaving`` are the names of upstreams that are leaving, by
-    the configuration and by the platform's list; ``held`` are the cordoned ones.
+    the configuration and by the platform's list; ``cordoned`` are those that get no
+    new work while they change.
 
     :param policy: a :class:`~mulberrydock.policies.Policy`.
     """
@@ -237,6 +240,8 @@
         return self.policy.pick(candidates, work, now)
 
     def record_failure(self, upstream, now):
-        """Record a failure of ``upstream`` at ``now``, so that it is avoided for
-        :data:`FAILURE_AVOIDANCE_SECONDS`."""
+        """Record a failure of ``upstream`` at ``now``.
+
+        It is avoided for :data:`FAILURE_AVOIDANCE_SECONDS`.
+        """
         upstream.failed_until = now + FAILURE_AVOIDANCE_SECONDS
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -56,12 +56,12 @@
 #: it leaves: it won't be back. Its successor, if there is one, registers before the
 #: announcement.
 ANNOUNCED_LEAVE_SECONDS = 0.5
-#: Share of a pool that may be under change at once.
+#: Share of a pool that may be changing its stage at once.
 MAX_CHANGING_SHARE = 0.25
-#: Seconds after an order for which its engine counts as under change. An engine is
-#: unavailable for 3 s after an accepted order, and an order without an answer may be
-#: carried out 12 s late. A refused order had no effect; only the report of its engine
-#: lags a little.
+#: Seconds after an order for which its engine counts as changing its stage. An engine
+#: is unavailable for 3 s after an accepted order, and an order without an answer may
+#: be carried out 12 s late. A refused order had no effect; only the report of its
+#: engine lags a little.
 ORDER_SETTLE_SECONDS = 5.0
 UNANSWERED_SETTLE_SECONDS = 13.0
 REFUSED_SETTLE_SECONDS = 0.6
@@ -141,8 +141,10 @@
 
 
 def _relieves(prefills, decoders, needs):
-    """Return whether turning a prefill engine into a decode engine helps the overloaded
-    stage more than it harms the other one."""
+    """Return whether one decode engine more, one prefill engine less pays off.
+
+    It does if it helps the overloaded stage more than it harms the other one.
+    """
     after = busiest_utilization(prefills - 1, decoders + 1, needs)
     return after < busiest_utilization(prefills, decoders, needs)
 
@@ -205,7 +207,7 @@
     pending_orders: dict = attrs.field(factory=dict)
 
     def record_order(self, change, settle, now):
-        """Record an order that was sent, so that its engine counts as under change.
+        """Record an order that was sent, so that its engine counts as changing.
 
         If this order was refused, an earlier unanswered one to the same engine stays
         pending: it may still be carried out.
@@ -230,11 +232,11 @@
                 return StageChange(engine, order.stage)
         return None
 
-    def under_change(self, engines, now):
+    def changing_ids(self, engines, now):
         """Return the ids of the engines whose orders may still be carried out.
 
-        An order ends when its engine reports the stage that it asks for, or has left,
-        as the pool may need the next change at once.
+        An order ends early when its engine reports the stage that it asks for, or has
+        left, as the pool may need the next change at once.
         """
         stages = {engine.id: engine.record.stage for engine in engines}
         self.pending_orders = {
@@ -280,7 +282,7 @@
         if self.known_ids - known_ids:
             self.engine_lost_at = now
         self.known_ids = known_ids
-        changing = self.under_change(engines, now)
+        changing = self.changing_ids(engines, now)
         prefills = [e for e in engines if self._next_stage(e) is Stage.PREFILL]
         decoders = [e for e in engines if self._next_stage(e) is Stage.DECODE]
         slots = max((engine.record.slots for engine in engines), default=0)
--- a/src/mulberrydock/suspicion.py
+++ b/src/mulberrydock/suspicion.py
@@ -11,8 +11,9 @@
 #: probing it with one request every few seconds is enough.
 FIRST_SUSPICION_SECONDS = 1.0
 MAX_SUSPICION_SECONDS = 8.0
-#: Failures in a row, without an answer between them, before an instance is first
-#: avoided: single failures (a lost or invalid answer) occur at healthy instances too.
+#: Failures in a row, without a complete response between them, before an instance is
+#: first avoided: single failures (a lost or invalid response) occur at healthy
+#: instances too.
 TOLERATED_FAILURES = 1
 #: Seconds for which an instance that refused a request for lack of a slot gets nothing
 #: new.
@@ -23,9 +24,10 @@
 class InstanceHealth:
     """Failures of one instance as seen by the requests of this VM.
 
-    ``failures`` counts those since the last answer. The instance is avoided as suspect
-    until ``suspect_until`` and for lack of a slot until ``no_slot_until`` (monotonic
-    seconds). ``refusing`` is True if it refused the last call without running it.
+    ``failures`` counts those since the last complete response. The instance is avoided
+    as suspect until ``suspect_until`` and for lack of a slot until ``no_slot_until``
+    (monotonic seconds). ``refusing`` is True if it refused the last call without
+    running it.
     """
 
     failures: int = 0
@@ -45,7 +47,7 @@
         return self.health_by_id.setdefault(instance_id, InstanceHealth())
 
     def record_success(self, instance_id):
-        """Record a complete answer of an instance, which ends the suspicion."""
+        """Record a complete response of an instance, which ends the suspicion."""
         health = self.health(instance_id)
         health.failures = 0
         health.suspect_until = 0.0
@@ -68,14 +70,15 @@
         return True
 
     def record_refusal(self, instance_id, now):
-        """Record a call that the instance refused without running it, as engines do
-        during a stage change: they refuse the next calls as well."""
+        """Record a call that the instance refused without running it.
+
+        Engines do so during a stage change and refuse the next calls as well.
+        """
         self.record_failure(instance_id, now, unreachable=True)
         self.health(instance_id).refusing = True
 
     def accepting(self, instances, now):
-        """Return the instances without those that refused the last call and are still
-        avoided for it."""
+        """Return the instances that are not avoided for refusing the last call."""
         return [
             instance
             for instance in instances
@@ -96,13 +99,12 @@
         self.health_by_id.pop(instance_id, None)
 
     def healthy(self, instances, now, suspected_by_peers=frozenset()):
-        """Return the instances that are neither suspect nor without a slot; all of them
-        if that leaves none.
+        """Return the instances that are neither suspect nor without a slot.
 
-        When all instances are suspect, the cause is more likely at this VM or in the
-        network.
+        If that leaves none, return all of them: when all instances are suspect, the
+        cause is more likely at this VM or in the network.
 
-        :param witnessed: ids of the instances that peers suspect.
+        :param suspected_by_peers: ids of the instances that peers suspect.
         """
         healthy = []
         for instance in instances:
--- a/tests/test_large_pool.py
+++ b/tests/test_large_pool.py
@@ -1,9 +1,9 @@
 """Latency when 195 VMs choose among 59 engines by counts that are half a second old.
 
-The simulated load consists of 60 letters a second, with 12,000 tokens about one of a
-thousand documents, 60 queries and 135 slip checks, which are short. 29 engines prefill
-and 30 decode, with 12 slots each; the load is two fifths of their capacity. The VMs
-send more than a hundred requests in half a second.
+The simulated load consists of requests of three kinds, each second 60 letters, with
+12,000 tokens about one of a thousand documents, 60 queries and 135 checks of slips,
+which are short. 29 engines prefill and 30 decode, with 12 slots each; the load is two
+fifths of their capacity. The VMs send more than a hundred requests in half a second.
 """
 
 import random
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -258,7 +258,7 @@
     [((63, 64), False), ((64, 64), True), ((90, 90), True)],
 )
 @pytest.mark.parametrize("prefills", [0, 2])
-def test_plan_tells_when_no_decode_engine_has_a_free_slot(
+def test_plan_states_when_no_decode_engine_has_a_free_slot(
     running, decode_slots_full, prefills
 ):
     decoders = engines(D, 2)
--- a/tests/test_prefill_cost.py
+++ b/tests/test_prefill_cost.py
@@ -62,7 +62,7 @@
     ("tokens", "took"), [(0, 0.1), (100, 0.0), (-5, 1.0), (1, 900.0), (10**6, 1e-6)]
 )
 def test_implausible_samples_leave_a_plausible_cost(tokens, took):
-    """Guards against an estimate outside the bounds of any engine, from answers that
+    """Guards against an estimate outside the bounds of any engine, from responses that
     come at once, for no tokens, or after minutes."""
     model = PrefillCostModel()
     for number in range(MAX_SAMPLES):
@@ -86,7 +86,7 @@
 )
 def test_fit_with_a_degenerate_prior_from_a_peer(told):
     """Guards against an error in the fit of the first own sample, which would end the
-    request without an answer although its prompt was prefilled: the cost that a peer
+    request without a response although its prompt was prefilled: the cost that a peer
     reported has no overhead, no cost of context, or is no number."""
     model = PrefillCostModel()
     model.apply_update("a", PrefillCost(*told))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -9,14 +9,15 @@
 import attrs
 import pytest
 
-from mulberrydock.rate_limits import CLEAR_ANSWERS, TAKEOVER_SECONDS, RateLimits
+from mulberrydock.rate_limits import CLEAR_RESPONSES, TAKEOVER_SECONDS, RateLimits
 
-#: Seconds from the first answer with the limit until the fleet must keep to it, seconds
-#: of a window, and requests that it may contain beyond one and a half times the limit.
+#: Seconds from the first response with the limit until the fleet must keep to it,
+#: seconds of a window, and requests that it may contain beyond one and a half times the
+#: limit.
 CONTACT_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 SLACK = 5
-#: Seconds after a VM's first answer with the limit from which its requests count.
+#: Seconds after a VM's first response with the limit from which its requests count.
 NOTICE_SECONDS = 0.5
 #: Seconds of one run, and requests a second for the instance at all VMs together.
 SECONDS = 14.0
@@ -30,7 +31,7 @@
 class LimitedInstance:
     """Declares its limit from the first request on.
 
-    ``noticed_at`` is when each VM first got an answer with the limit, ``arrived`` are
+    ``noticed_at`` is when each VM first got a response with the limit, ``arrived`` are
     the times of all requests, ``counted`` of those from VMs that know the limit.
     """
 
@@ -129,8 +130,8 @@
 ]
 
 
-# Guards against a limit that each VM keeps for itself alone, that is divided into too
-# many shares to be kept, or that is exceeded while VMs start and leave.
+# Guards against a limit that each VM respects for itself alone, that is divided into
+# too many shares to be respected, or that is exceeded while VMs start and leave.
 @pytest.mark.parametrize(("sizes", "rate", "event"), SMALL_CASES + LARGE_CASES)
 def test_fleet_keeps_to_a_limit(peer_fleet, sizes, rate, event):
     fleet, rng, instance = peer_fleet(**sizes), random.Random(3), LimitedInstance(rate)
@@ -152,7 +153,7 @@
     assert len(late) >= instance.rate * WINDOW_SECONDS / 2
 
 
-# Guards against a limit that never ends at some VM, or that one old answer ends.
+# Guards against a limit that never ends at some VM, or that one old response ends.
 @pytest.mark.parametrize("sizes", [SMALL, LARGE], ids=["8-vms", "195-vms"])
 def test_limit_ends_at_all_vms_when_the_instance_declares_none(peer_fleet, sizes):
     fleet, rng, instance = peer_fleet(**sizes), random.Random(5), LimitedInstance(2.3)
@@ -168,14 +169,14 @@
     [
         # (rate declared, seconds at which the request was sent and answered)
         ([(2.0, 0.0, 1.0)], True),
-        ([(2.0, 0.0, 1.0)] + [(None, 2.0, 3.0)] * (CLEAR_ANSWERS - 1), True),
-        ([(2.0, 0.0, 1.0)] + [(None, 2.0, 3.0)] * CLEAR_ANSWERS, False),
-        ([(2.0, 0.0, 1.0)] + [(None, 0.5, 3.0)] * CLEAR_ANSWERS, True),
+        ([(2.0, 0.0, 1.0)] + [(None, 2.0, 3.0)] * (CLEAR_RESPONSES - 1), True),
+        ([(2.0, 0.0, 1.0)] + [(None, 2.0, 3.0)] * CLEAR_RESPONSES, False),
+        ([(2.0, 0.0, 1.0)] + [(None, 0.5, 3.0)] * CLEAR_RESPONSES, True),
         ([(None, 0.0, 1.0)], False),
     ],
 )
-def test_answers_that_declare_a_limit_and_its_end(answers, limited):
-    """Guards against a limit that is ended by the answer to a request which was sent
+def test_responses_that_declare_a_limit_and_its_end(answers, limited):
+    """Guards against a limit that is ended by the response to a request that was sent
     before the limit was declared, as requests overlap."""
     limits = RateLimits("other", lambda now: frozenset(("entry-1",)))
     for rate, sent_at, now in answers:
@@ -213,7 +214,7 @@
     limits.observe("e1", 2.0, 0.0, 0.0)
     assert limits.permits("e1", TAKEOVER_SECONDS) is False
     assert limits.permits("e1", 2 * TAKEOVER_SECONDS)
-    for _ in range(CLEAR_ANSWERS):
+    for _ in range(CLEAR_RESPONSES):
         limits.observe("e1", None, 3.0, 4.0)
     for _ in range(100):
         limits.take("e1", 5.0)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -24,6 +24,8 @@
     return engine
 
 
+# Guards against waits that count work twice or not at all: work sent after a report,
+# work done since, and requests of other entries.
 @pytest.mark.parametrize(
     "report, work, now, sent, expected",
     [
@@ -59,6 +61,8 @@
     assert engine.wait_seconds(work, now, entries=2) == pytest.approx(expected)
 
 
+# Guards against a request that is sent to an upstream that must not or cannot take it,
+# and against one that is refused while a less suitable upstream is left.
 @pytest.mark.parametrize(
     "changes, expected",
     [
@@ -116,6 +120,8 @@
     assert POLICIES[policy]().pick(candidates, work, 0.0) in candidates
 
 
+# Guards against a prefix that is prefilled by changing engines, and against one that
+# overloads its owners.
 def test_ring_sends_prefixes_to_their_owners_unless_these_are_overloaded():
     engines = [_engine(n) for n in "abcde"]
     policy = RingPlacement(seed=0)
@@ -133,6 +139,7 @@
     assert policy.pick(engines, work, 0.0) not in owners
 
 
+# Guards against cached prefixes that are lost because another engine leaves.
 def test_ring_moves_few_prefixes_when_an_engine_leaves():
     engines = [_engine(n) for n in "abcde"]
     policy = RingPlacement(ways=1)
@@ -143,6 +150,7 @@
     assert all(before[k] == "e" for k in moved)
 
 
+# Guards against blocks that count as cached without the blocks before them.
 def test_cache_tracking_prefers_the_longest_cached_prefix():
     tokens = [f"t{i}" for i in range(160)]
     blocks = block_hashes(tokens)
@@ -158,6 +166,8 @@
     assert policy.pick(engines, work, 0.0).name == "a"
 
 
+# Guards against requests that run although they miss their deadline, and against
+# refusals that state a retry time beyond its bounds.
 @pytest.mark.parametrize(
     "rank, estimate, left, admitted, retry_after",
     [
@@ -178,6 +188,8 @@
     assert (decision.admitted, decision.retry_after) == (admitted, retry_after)
 
 
+# Guards against estimates that stay too high or too low for one class rank, and against
+# corrections by waits too short to show anything.
 def test_admission_corrects_estimated_waits_for_each_class_rank():
     admission = Admission()
     first, last = (
@@ -193,6 +205,8 @@
     assert not admission.decide(last, 0.7, 0.1, 2.0).admitted
 
 
+# Guards against retries that multiply the load of a failing pool, and against an entry
+# with few requests that may not retry at all.
 @pytest.mark.parametrize("requests, allowed", [(0, 10), (100, 30), (1000, 210)])
 def test_retry_budget(requests, allowed):
     budget = RetryBudget()
@@ -214,6 +228,7 @@
     assert len(prompt_tokens(body)) == tokens
 
 
+# Guards against metrics that grow without bound with the tenants that clients name.
 def test_tenants_beyond_the_maximum_share_one_series():
     metrics = EntryMetrics()
     labels = [metrics.tenant_label(f"t{i}") for i in range(MAX_TENANT_LABELS + 5)]
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,9 +1,9 @@
 """Service of the longest prompts while more prefill is asked for than a pool can do.
 
-The simulated load consists of letters about a hundred documents, most of them short and
-a few of 50,000 tokens, beside short queries and slip checks. The pool of five engines
-has lost a prefill engine, or gets a burst of letters for some seconds. Runs in
-simulated time, without network.
+The simulated load consists of requests of three kinds: letters, each about one of a
+hundred documents, most of them short and a few of 50,000 tokens, beside short queries
+and checks of slips. The pool of five engines has lost a prefill engine, or gets three
+times as many letters for some seconds. Runs in simulated time, without network.
 """
 
 import random
