--- a/src/mulberrydock/admission.py
+++ b/src/mulberrydock/admission.py
@@ -104,7 +104,7 @@
         return True
 
     def spend(self, now, count=1):
-        """Count ``count`` sends beyond the first of their request."""
+        """Count ``count`` sends beyond the first of their request, allowed or not."""
         self.retries.extend([now] * count)
 
     def _expire(self, now):
--- a/src/mulberrydock/peer_loads.py
+++ b/src/mulberrydock/peer_loads.py
@@ -32,9 +32,10 @@
 class Load:
     """Unfinished work at an instance.
 
-    ``running`` counts requests; ``prefill`` are the prompt tokens still to be
-    prefilled, by urgency: the most urgent ones at index 0, none for an urgency beyond
-    its end. ``longest`` are the tokens of the longest of these prompts.
+    ``running`` counts requests; ``prefill`` is the work of the prompts still to be
+    prefilled, in tokens without context, by urgency: the most urgent at index 0, none
+    for an urgency beyond its end. ``longest`` is the work of the longest of these
+    prompts.
     """
 
     running: int = 0
@@ -43,11 +44,11 @@
 
     @property
     def prefill_tokens(self):
-        """All prompt tokens still to be prefilled."""
+        """All work still to be prefilled, in tokens without context."""
         return sum(self.prefill)
 
     def tokens_ahead(self, urgency):
-        """Return the tokens that are prefilled before a new prompt of ``urgency``.
+        """Return the work that is prefilled before a new prompt of ``urgency``.
 
         Engines prefill the most urgent prompt first but finish one that they have
         begun, so a short urgent prompt waits for a long one under way. Which prompt
@@ -59,7 +60,10 @@
 
 
 def combined(loads):
-    """Return the sum of several VMs' :class:`Load` at one instance."""
+    """Return the sum of several VMs' :class:`Load` at one instance.
+
+    Its ``longest`` is that of the longest prompt of any of them.
+    """
     levels = itertools.zip_longest(*(load.prefill for load in loads), fillvalue=0)
     return Load(
         sum(load.running for load in loads),
@@ -99,7 +103,7 @@
 class InFlightSend:
     """One send counted in a :class:`LoadTracker` until it ends.
 
-    ``tokens`` are those still to be prefilled, 0 once the prompt is.
+    ``tokens`` is the work still to be prefilled, 0 once the prompt is prefilled.
     """
 
     tracker: object
@@ -184,7 +188,8 @@
     def begin(self, instance_id, tokens, urgency=0):
         """Count a send and return its :class:`InFlightSend`.
 
-        :param tokens: those of its prompt that have to be prefilled.
+        :param tokens: work of its prompt that has to be prefilled, in tokens without
+            context.
         """
         send = InFlightSend(self, instance_id, tokens, urgency)
         self.sends.setdefault(instance_id, set()).add(send)
--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -119,7 +119,8 @@
 class Option:
     """An engine that could prefill a prompt; fields as in :class:`Plan`.
 
-    ``cost`` is in seconds; beside the wait it includes the weighted time of the engine.
+    ``work`` is what the plan calls ``tokens``. ``cost`` is in seconds; beside the wait
+    it includes the weighted time of the engine.
     """
 
     cost: float
--- a/src/mulberrydock/stages.py
+++ b/src/mulberrydock/stages.py
@@ -132,7 +132,7 @@
 def busiest_utilization(prefills, decoders, needs):
     """Return the utilization of a pool's busier stage.
 
-    Decode engines prefill if there is no prefill engine.
+    Decode engines prefill, more slowly, if there is no prefill engine.
     """
     if not prefills:
         work = needs.prefill_demand / IN_PLACE_SPEED_RATIO + needs.decode_demand
@@ -141,7 +141,7 @@
 
 
 def _relieves(prefills, decoders, needs):
-    """Return whether one decode engine more, one prefill engine less pays off.
+    """Return whether it pays off to turn a prefill engine into a decode engine.
 
     It does if it helps the overloaded stage more than it harms the other one.
     """
--- a/tests/test_refusal.py
+++ b/tests/test_refusal.py
@@ -51,8 +51,8 @@
     decode_slots_full, most_urgent, refused
 ):
     plan = Plan(None, None, 0, 0.3, 0.1, decode_slots_full=decode_slots_full)
-    answer = refusal.refuse(plan, 2.4, most_urgent, 10.0)
-    assert (answer is not None) is refused
+    found = refusal.refuse(plan, 2.4, most_urgent, 10.0)
+    assert (found is not None) is refused
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -174,10 +174,10 @@
     time out after 2.4 s."""
     planner = StagePlanner()
     needs = StageNeeds(2.4, 0.2)
-    whole, short = pool(P, P, D, D, D), pool(P, D, D, D)
-    assert planner.decide(whole, True, {}, needs, left_at) is None
-    assert planner.decide(short, left_at == 5.0, {}, needs, 5.0) is None
-    change = planner.decide(short, False, {}, needs, 5.0 + seconds)
+    before, after = pool(P, P, D, D, D), pool(P, D, D, D)
+    assert planner.decide(before, True, {}, needs, left_at) is None
+    assert planner.decide(after, left_at == 5.0, {}, needs, 5.0) is None
+    change = planner.decide(after, False, {}, needs, 5.0 + seconds)
     assert (change is not None) is changed
     assert change is None or change.stage is P
 
