--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -1,9 +1,9 @@
 """One language request: admission, prefill handoff, relay and resume.
 
-The engine is asked for a stream even when the client wants a whole response, because
+The engine is asked for a stream even when the client wants a buffered response, because
 its tokens are the only sign that a connection still works. A stream that is cut is
-resumed on another engine after the last event received, so the caller gets one whole
-response, or is told that it was cut.
+resumed on another engine after the last event received, so the client gets one complete
+response, or an error that states that it was cut.
 """
 
 import abc
@@ -61,7 +61,7 @@
 
 
 class StreamSink(Sink):
-    """Forwards events to the caller as they arrive."""
+    """Forwards events to the client as they arrive."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -87,7 +87,7 @@
 
 
 class BufferedSink(Sink):
-    """Assembles a whole response from stream events."""
+    """Assembles one response from stream events, for a client that doesn't stream."""
 
     def __init__(self, handler, chat):
         self.handler = handler
@@ -122,7 +122,7 @@
 
 
 class PassThroughSink(Sink):
-    """Passes an engine's own whole response on, unparsed but for its id."""
+    """Passes an engine's own buffered response on, unparsed but for its id."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -142,8 +142,8 @@
     """Checks the events of one engine's response and passes them to the sink.
 
     Each event carries the request's id and its sequence number. An id of another
-    request (a crossed response) or a wrong number (a lost or duplicated event) ends the
-    exchange before any part of that event is passed on.
+    request (its response came on the wrong connection) or a wrong number (a lost or
+    duplicated event) ends the exchange before any part of that event is passed on.
     """
 
     def __init__(self, completion, streamed):
@@ -264,7 +264,7 @@
 
     @property
     def deadline(self):
-        """The deadline of the request's class for this request, monotonic seconds."""
+        """The request's deadline, set by its class, monotonic seconds."""
         return self.arrived + self.klass.deadline_seconds
 
     @property
@@ -375,7 +375,7 @@
         return engine
 
     async def _attempt(self, engine, now):
-        """Send to ``engine``; return True for a whole response, False on a refusal."""
+        """Send to ``engine``; return True for a complete response, else False."""
         kv_source = await self._prefill(now)
         now = time.monotonic()
         estimate = engine.wait_seconds(
--- a/src/mulberrydock/connections.py
+++ b/src/mulberrydock/connections.py
@@ -35,13 +35,13 @@
 #: Seconds for which an idle connection is kept when the peer states no limit.
 IDLE_TIMEOUT_SECONDS = 10.0
 #: Seconds before the peer's idle limit at which a connection is no longer reused, so
-#: that no request crosses the peer's close.
+#: that no request is on its way while the peer closes the connection.
 IDLE_TIMEOUT_MARGIN_SECONDS = 1.0
-#: Idle connections kept to one address.
+#: Maximum number of idle connections to one address.
 MAX_IDLE_CONNECTIONS = 8
-#: Responses to other requests that are skipped on one connection.
+#: Responses to other requests that one exchange skips before it fails.
 MAX_STALE_RESPONSES = 2
-#: Bytes of a response body; the platform's largest item is 1 MiB, in base64.
+#: Maximum size of a response body; the platform's largest item is 1 MiB, in base64.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 CONNECTION_PARAMS = tornado.http1connection.HTTP1ConnectionParameters(
@@ -91,7 +91,7 @@
 
     @property
     def body(self):
-        """The body received so far."""
+        """The body bytes received so far."""
         return b"".join(self.chunks)
 
 
@@ -335,8 +335,8 @@
             if not complete:
                 break
             if not delegate.skipped:
-                # To the reader, the end of an unframed body and a reset look alike;
-                # only the socket's error distinguishes them.
+                # The reader reports the end of an unframed body and a reset in the same
+                # way; only the socket's error distinguishes them.
                 if stream.error is not None:
                     break
                 return delegate.headers, read_task.done() and not stream.closed()
@@ -355,8 +355,8 @@
             complete = await delegate.done
             if complete:
                 # The response may be complete before the request has been read; such a
-                # connection can't be reused. One turn of the loop lets the read task
-                # end.
+                # connection can't be reused. One iteration of the event loop lets
+                # the read task end.
                 await asyncio.sleep(0)
             return complete, read_task
         except asyncio.CancelledError:
--- a/src/mulberrydock/crash_guard.py
+++ b/src/mulberrydock/crash_guard.py
@@ -23,7 +23,7 @@
 
     @classmethod
     def from_store(cls, store, name, is_leader):
-        """Build over ``store`` for the entry called ``name``.
+        """Build the guard of the entry called ``name``, over ``store``.
 
         :param is_leader: returns True at the one entry that removes expired records.
         """
--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -1,10 +1,10 @@
-"""The entry daemon: HTTP for callers, routing to engines and services.
+"""The entry daemon: HTTP for clients, routing to engines and services.
 
-Callers ask ``GET /v1/entries`` which entry VMs to use and cache the response for
+Clients ask ``GET /v1/entries`` which entry VMs to use and cache the response for
 ``ttl_seconds``. Language requests (OpenAI-compatible completions and chat completions,
-whole or streamed) go to an engine that runs the model; ``/v1/services/<kind>/<route>``
-goes to an application service, with an idempotency record in the store before any
-non-idempotent call.
+buffered or streamed) go to an engine that runs the model;
+``/v1/services/<kind>/<route>`` goes to an application service, with an idempotency
+record in the store before any non-idempotent call.
 """
 
 import asyncio
@@ -134,7 +134,7 @@
         return self.draining or self.entry.name in self.leaving_vms()
 
     def entry_list(self):
-        """Return the entries to offer callers: registered and not leaving."""
+        """Return the entries to offer clients: registered and not leaving."""
         leaving = self.leaving_vms()
         peers = dict(self.membership.peers)
         if not self.draining:
@@ -210,11 +210,10 @@
             task.cancel()
 
     async def drain(self, server, now):
-        """Stop gracefully: stop offering this entry, finish in-flight requests,
-        deregister.
+        """Stop offering this entry, finish the requests in flight, and deregister.
 
         New requests during the drain get ``DRAINING`` with ``Retry-After: 0`` (they
-        have not run), so callers ask another entry for the entry list.
+        have not run), so clients ask another entry for the entry list.
         """
         self.draining = True
         logger.info("entry draining", in_flight=self.in_flight)
--- a/src/mulberrydock/front.py
+++ b/src/mulberrydock/front.py
@@ -57,8 +57,7 @@
 
 
 class RequestReader(tornado.httputil.HTTPMessageDelegate):
-    """Reads one request, starts the relay at its end, cancels it when the client
-    leaves."""
+    """Reads one request and starts the relay; cancels it when the client leaves."""
 
     def __init__(self, front, connection):
         self.front = front
--- a/src/mulberrydock/handlers.py
+++ b/src/mulberrydock/handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of the entry daemon, for callers and operators.
+"""HTTP handlers of the entry daemon, for clients and operators.
 
 Every handler holds the :class:`~mulberrydock.entry.EntryDaemon` it serves. A request
 that does work is counted as in flight, so that a drain waits for it, and timed per
@@ -28,10 +28,10 @@
 class _EntryHandler(JsonHandler):
     def initialize(self, daemon):
         self.daemon = daemon
-        self.caller_left = False
+        self.client_left = False
 
     def on_connection_close(self):
-        self.caller_left = True
+        self.client_left = True
 
     def write_error(self, status_code, **kwargs):
         """Answer an error of this entry with a result code, not tornado's page."""
@@ -56,8 +56,7 @@
         )
 
     def tenant_and_class(self):
-        """Return ``(tenant, PriorityClass)``; the lowest class if the request names
-        none."""
+        """Return ``(tenant, PriorityClass)``, the lowest class if none is named."""
         tenant = self.request.headers.get(
             defaults.TENANT_HEADER, defaults.DEFAULT_TENANT
         )
@@ -116,7 +115,7 @@
 
 
 class _ServingHandler(_EntryHandler):
-    """A request that is counted as in flight and timed per tenant and class."""
+    """Counts its request as in flight and times it per tenant and class."""
 
     counted = False
     observed = False
@@ -156,14 +155,14 @@
 
 
 class CompletionHandler(_ServingHandler):
-    """OpenAI-compatible completions, whole or as SSE; see ``completion``."""
+    """OpenAI-compatible completions, buffered or as SSE; see ``completion``."""
 
     task = None
 
     def on_connection_close(self):
         super().on_connection_close()
         if self.task is not None:
-            # The caller left: closing the upstream connection stops the engine's work.
+            # The client left: closing the upstream connection stops the engine's work.
             self.task.cancel()
 
     async def post(self, route):
@@ -182,7 +181,7 @@
         try:
             self.code = await self.task
         except asyncio.CancelledError:
-            if not self.caller_left:
+            if not self.client_left:
                 raise
             self.code = ResultCode.CALLER_GONE
             return
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -22,9 +22,9 @@
 
 #: Attempts to write the final record before it is left to a later read.
 COMPLETE_ATTEMPTS = 20
-#: Attempts to claim a key, against conflicts and lost answers of the store.
+#: Attempts to claim a key, against conflicts and lost responses of the store.
 CLAIM_ATTEMPTS = 5
-#: Checks for an abandoned claim, a store retry pause apart.
+#: Checks for an abandoned claim, ``STORE_RETRY_SECONDS`` from one to the next.
 RESOLVE_ATTEMPTS = 480
 #: Multiple of the class deadline after which a started call has ended.
 CALL_LIMIT_FACTOR = 3.0
@@ -34,8 +34,7 @@
 
 @attrs.define
 class Outcome:
-    """The response to the caller: HTTP status, result code, body, ``Retry-After``
-    seconds."""
+    """The HTTP response to the client; ``retry_after`` is in seconds, None for none."""
 
     status: int
     code: ResultCode
@@ -74,8 +73,10 @@
         self.granted_at = 0.0
 
     async def current(self, now):
-        """Return the lease for records created at ``now``, None while the store is
-        unavailable."""
+        """Return the lease for records created now, None if the store didn't grant one.
+
+        :param now: monotonic seconds.
+        """
         age = now - self.granted_at
         if self.lease is None or age >= self.retention_seconds / 2:
             granted = await self.store.grant(self.retention_seconds * 1.5)
@@ -143,7 +144,7 @@
         return first not in routes
 
     async def run(self, now):
-        """Make the call and return the :class:`Outcome` for the caller."""
+        """Make the call and return the :class:`Outcome` for the client."""
         crashes = self.daemon.crashes
         if crashes.is_quarantined(self.fingerprint):
             return _quarantined()
@@ -192,7 +193,7 @@
         for _ in range(CLAIM_ATTEMPTS):
             lease = await self.daemon.record_leases.current(time.monotonic())
             if lease is None:
-                # An outage, or a lost answer to the grant: nothing is claimed.
+                # An outage, or a lost response to the grant: nothing is claimed.
                 continue
             written = await store.put(
                 self.record_key, self._record("started"), expect, lease
@@ -203,7 +204,7 @@
                 if written.error.current == expect:
                     # Refused because of the lease: it has expired at the store.
                     self.daemon.record_leases.invalidate()
-            # A conflict or a lost answer: read again to find out who holds the key.
+            # A conflict or a lost response: read again to find out who holds the key.
             read = await store.get(self.record_key)
             if read.is_error():
                 self.daemon.run_in_background(self._resolve_abandoned_claim())
@@ -234,8 +235,8 @@
                 "an earlier call with this key has not ended",
                 defaults.RETRY_AFTER_SECONDS,
             )
-        # Its entry died during the call, which may have run: the call is never made
-        # again, and the caller is told so instead of being kept waiting.
+        # Its entry stopped during the call, which may have run: the call is never made
+        # again, and the client gets an error instead of waiting for a response.
         return _error(
             502,
             ResultCode.OUTCOME_UNKNOWN,
@@ -245,7 +246,7 @@
     async def _resolve_abandoned_claim(self):
         """Resolve a claim whose write is unconfirmed, after an outage of the store.
 
-        The caller got NOT_RUN. If the claim reached the store after all, a repeat of
+        The client got NOT_RUN. If the claim reached the store after all, a repeat of
         the key would find a call in progress that nobody makes, and the renewal would
         be lost; so the record is marked as not run.
         """
@@ -291,7 +292,7 @@
             if written.is_ok():
                 return True
             if isinstance(written.error, VersionConflict):
-                # The earlier write took effect but its answer was lost.
+                # The earlier write took effect but its response was lost.
                 read = await store.get(self.record_key)
                 if read.is_ok() and read.ok is not None:
                     found = records.decode(records.IdempotencyRecord, read.ok.value)
--- a/src/mulberrydock/pages.py
+++ b/src/mulberrydock/pages.py
@@ -7,8 +7,8 @@
 from . import platform
 
 #: Seconds for which clients may cache the directory's response. A third of the clients
-#: caches it three times as long, and a stopping VM takes requests for that long, so it
-#: has to be well within the part of the grace period in which a stopping VM still does.
+#: caches it three times as long, so that time has to be well within the part of the
+#: grace period in which a stopping VM still takes requests.
 ANSWER_TTL_SECONDS = 1.0
 
 
--- a/src/mulberrydock/ports.py
+++ b/src/mulberrydock/ports.py
@@ -20,7 +20,10 @@
 
     @abc.abstractmethod
     def upstream_headers(self, request, options):
-        """Return the headers of one send, from its :class:`SendOptions`."""
+        """Return the headers of one send.
+
+        :param options: the :class:`~mulberrydock.request.SendOptions`.
+        """
 
     @abc.abstractmethod
     def read_metadata(self, headers):
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -1,5 +1,4 @@
-"""Prefills a request's prompt on a prefill engine, which holds the KV cache for a
-decode engine."""
+"""Prefills a prompt on a prefill engine, which holds its KV cache for decoding."""
 
 import asyncio
 import time
@@ -17,7 +16,7 @@
 #: is abandoned in an engine's queue has to queue again elsewhere; a terminated engine
 #: is noticed earlier, as its connection ends.
 PREFILL_TIMEOUT_MARGIN_SECONDS = 1.0
-#: Multiple of the estimated wait after which a call times out.
+#: Multiple of the estimated wait that a call may take, beyond the margin.
 WAIT_TIMEOUT_FACTOR = 2.0
 
 
@@ -135,7 +134,7 @@
             await self.relay.probe_after_cut(self.request, self.engine)
 
     def _record_prefill(self, started, now):
-        """Log a finished prefill and add its duration to the speed estimate."""
+        """Log a finished prefill and add its duration to the cost estimate."""
         plan, seconds = self.plan, now - started
         logger.info(
             "prefilled",
@@ -144,8 +143,8 @@
             seconds=round(seconds, 3),
         )
         if plan.queued:
-            # The time of a queued prompt includes the queue, so it is no sample of
-            # speed.
+            # The time of a queued prompt includes its wait in the queue, so it is no
+            # sample of the prefill cost.
             return
         tokens = self.request.prompt.tokens - plan.cached
         sample = PrefillSample(self.service, tokens, plan.cached, seconds)
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -1,10 +1,10 @@
 """Quarantines work that crashes instances, so that it isn't sent again.
 
-A request that crashes every instance it runs on comes again with the same path and
-body, at any VM. One VM alone sees an instance or two terminate, amid other requests and
-for other reasons; only the observations of all VMs together identify the request that
-was present each time. So VMs report to each other, and record in the store, under which
-work an instance crashed, by the work's fingerprint.
+A request that crashes every instance it runs on is sent again with the same path and
+body, to any VM. One VM alone sees it end an instance or two, among many instances that
+terminate for other reasons; only the observations of all VMs together identify the
+request that was running each time. So VMs report to each other, and record in the
+store, under which work an instance crashed, by the work's fingerprint.
 
 A request that merely ran where an instance crashed is recognised by what follows: it is
 served by another instance, and that clears it.
@@ -37,9 +37,10 @@
 #: Seconds for which successfully served work isn't suspected: instances that are lost
 #: together may all be running the same popular look-up.
 SERVED_EXEMPTION_SECONDS = 60.0
-#: Fingerprints of served work that are remembered for that.
+#: Maximum number of fingerprints of served work that are remembered.
 MAX_SERVED_ENTRIES = 4096
-#: Fingerprints of suspected work that are remembered while the store is unavailable.
+#: Maximum number of fingerprints of suspected work that are remembered while the store
+#: is unavailable.
 MAX_SUSPECT_ENTRIES = 4096
 #: Seconds for which the store retains crashes of work that isn't quarantined.
 SUSPECT_RETENTION_SECONDS = 600.0
@@ -128,7 +129,7 @@
     def record_cut(self, work, incarnation, now):
         """Record that an instance's connection ended under ``work``, cause unknown."""
         cuts = self.cuts.get(incarnation, {})
-        # Cuts of an instance that goes on running would accumulate.
+        # Cuts of an instance that keeps running would accumulate.
         cuts = {
             other: at for other, at in cuts.items() if now - at <= CUT_WINDOW_SECONDS
         }
@@ -178,8 +179,8 @@
     def record_request_end(self, work, served, now):
         """Record the end of a request for ``work``.
 
-        Work that was served crashes no instance and is cleared. Crashes that this VM
-        saw under other work are reported now.
+        Work that was served crashes no instance and is cleared. If it wasn't, the
+        crashes that this VM saw under it are written and reported without delay.
 
         :param served: whether an instance answered the request with success.
         """
@@ -187,7 +188,7 @@
             self._clear(work, now)
             return
         for pending_crash in self.pending.get(work, {}).values():
-            # The VM that saw a crash is to write it first.
+            # A crash that a peer reported is for that peer to write first.
             if pending_crash.messages_left:
                 pending_crash.write_at = min(pending_crash.write_at, now)
 
@@ -258,8 +259,7 @@
         self.store_restored = True
 
     def finish_reload(self, jitter, now):
-        """End a full read: drop the stored crashes that it lacked, as they were
-        removed.
+        """End a full read: drop stored crashes that it lacked, as they were removed.
 
         After a restore of the store, the store has lost them instead, so they are
         written again; what was cleared since the copy is removed again.
--- a/src/mulberrydock/quarantine_sync.py
+++ b/src/mulberrydock/quarantine_sync.py
@@ -1,8 +1,8 @@
 """Synchronises a quarantine with the store.
 
 A record is one key for each work and instance, written unconditionally: writing it
-twice, or late after a lost answer, changes nothing. No lease is attached, as leases may
-expire during an outage of the store, which may well be when engines crash.
+twice, or late after a lost response, changes nothing. No lease is attached, as leases
+may expire during an outage of the store, which may well be when engines crash.
 """
 
 import asyncio
--- a/src/mulberrydock/relay.py
+++ b/src/mulberrydock/relay.py
@@ -115,8 +115,7 @@
         return task
 
     async def probe_after_cut(self, request, instance):
-        """Find out whether ``instance`` crashed when it cut the connection of
-        ``request``.
+        """Probe whether ``instance`` crashed: its connection was cut in ``request``.
 
         Completes also when the client leaves meanwhile, as clients do whose request is
         never answered: the result identifies the same work when it is sent again.
--- a/src/mulberrydock/request.py
+++ b/src/mulberrydock/request.py
@@ -67,8 +67,9 @@
     """A declared service: connection cap per instance and engine limits.
 
     ``kv_tokens`` is the size of an engine's KV cache in tokens, 0 for a plain
-    application service; ``transfer_seconds_per_token`` is the time that the KV cache
-    of one token takes on an engine's link.
+    application service; ``slots`` is the number of requests that an engine runs at
+    once; ``transfer_seconds_per_token`` is the time that the KV cache of one token
+    takes on an engine's link.
     """
 
     name: str
--- a/src/mulberrydock/sends.py
+++ b/src/mulberrydock/sends.py
@@ -15,7 +15,8 @@
     """How long an instance may make no progress before its response is abandoned.
 
     ``first_event_seconds`` is the time to the first event, ``event_gap_seconds`` that
-    between two events. ``may_abandon`` is called on a timeout and returns whether
+    between two events; a buffered response reports no events, so for it the former is
+    the time to its end. ``may_abandon`` is called on a timeout and returns whether
     another instance takes the request over: silence alone is no reason to end a
     response that may still come.
     """
--- a/src/mulberrydock/serving.py
+++ b/src/mulberrydock/serving.py
@@ -1,8 +1,7 @@
-"""Serves one request: chooses an instance, sends, relays, resumes, gives the final
-response.
+"""Serves one request: choose, send, relay, resume, give the final response.
 
-Status codes are promises: 429 and 503 say that the request has not run and never will;
-after a send that may have run, a non-idempotent request ends with 502 or 504.
+Status codes are guarantees: 429 and 503 state that the request has not run and never
+will; after a send that may have run, a non-idempotent request ends with 502 or 504.
 """
 
 import asyncio
@@ -46,8 +45,10 @@
 
 @attrs.define
 class CallCounter:
-    """Counts a request's calls of one kind: those made, and those that an instance may
-    have received."""
+    """Counts a request's calls of one kind.
+
+    ``made`` are all calls, ``maybe_received`` those that an instance may have received.
+    """
 
     made: int = 0
     maybe_received: int = 0
@@ -111,9 +112,9 @@
                 self.request.prompt, self.route, self.service, self.request.arrived
             )
         loop = asyncio.get_running_loop()
-        left = self._seconds_left(time.monotonic())
+        seconds_left = self._seconds_left(time.monotonic())
         try:
-            async with asyncio.timeout_at(loop.time() + left):
+            async with asyncio.timeout_at(loop.time() + seconds_left):
                 return await self._attempts()
         except TimeoutError:
             return self._expire()
@@ -123,16 +124,19 @@
         return self.deadline - now
 
     def _refusal(self, plan, now):
-        """Return the :class:`~mulberrydock.refusal.Refusal` of a request that can't be
-        served in time, None to attempt it.
+        """Return why a request can't be served in time, None to attempt it.
 
         Only a request without an earlier attempt is refused.
+
+        :returns: a :class:`~mulberrydock.refusal.Refusal` or None.
         """
         if self.sends.made or self.prefills.made:
             return None
         most_urgent = self.fleet.is_most_urgent(self.route, self.service)
-        left = self._seconds_left(now)
-        return refusal.refuse(plan, self.route.client_idle_timeout, most_urgent, left)
+        seconds_left = self._seconds_left(now)
+        return refusal.refuse(
+            plan, self.route.client_idle_timeout, most_urgent, seconds_left
+        )
 
     async def _attempts(self):
         attempt = (
@@ -201,8 +205,8 @@
     def _may_abandon(self):
         """Return whether a silent instance may be abandoned, as another one takes over.
 
-        The retries granted here are kept for the next attempt, so that the response
-        abandoned now isn't lost for want of budget.
+        The retries reserved here stay reserved for the next attempt, so that no
+        response is abandoned whose replacement the retry budget doesn't allow.
         """
         now = time.monotonic()
         plan = self._next_plan(now)
@@ -274,7 +278,7 @@
             )
             handle_used = listener.metadata is not None and listener.is_signed_stream
         finally:
-            # An unused handle keeps KV cache in its engine's memory for nothing.
+            # The KV cache of an unused handle would occupy its engine's memory.
             if handle is not None and not handle_used:
                 self.relay.release_handle(prefill, handle)
         if complete and listener.is_signed_stream:
@@ -298,7 +302,7 @@
             metrics.wait_ratio.labels(self.service).observe(ratio)
 
     def _deliver_buffered(self, plan, response, metadata):
-        """Pass an instance's whole response on unless another attempt may do better.
+        """Pass an instance's response on unless another attempt may do better.
 
         :returns: True when it went to the client.
         """
@@ -338,7 +342,7 @@
         return True
 
     async def _send(self, plan, listener, in_flight_send, timeouts, handle=None):
-        """Send once to the plan's target; return whether a whole response came."""
+        """Send once to the plan's target; return whether a complete response came."""
         target = plan.target
         now = time.monotonic()
         self.sends.record_call()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -45,7 +45,7 @@
 #: takes.
 PROMPTS_PER_SECOND = 20
 CHANGE_SECONDS = 3.0
-LETTERS = Route(
+ROUTE = Route(
     "r", "h", "/", Kind.STREAMING, (Split("llm", 1),), 10, 0.6, 0.3, 2, 2, True, 2.4
 )
 
@@ -112,8 +112,7 @@
     ],
 )
 def test_sends_that_nobody_received_spend_no_retry_budget(ends, granted):
-    """Half of a pool's engines crash, and each VM goes on choosing them until it has
-    found nobody listening at each of them.
+    """Half of a pool's engines crash; each VM chooses them until none accepts.
 
     Counted as retries, these attempts would spend the budget within a second, and
     requests that were never sent would be refused.
@@ -132,6 +131,7 @@
 
 
 def test_retry_granted_for_a_call_that_was_not_sent_is_reused():
+    """Retries that find nobody listening must not each be charged to the budget."""
     view = FleetView("dc1", TIMING, lambda: 1, lambda instance: None)
     relay = types.SimpleNamespace(fleet=view, wire=None)
     request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0)
@@ -149,8 +149,7 @@
 
 
 class RefusingEngines:
-    """A wire to engines that refuse every call, and what a prefill call needs of a
-    relay."""
+    """What a prefill call needs of a relay and wire, to engines that refuse it."""
 
     def __init__(self, status):
         self.status = status
@@ -175,7 +174,7 @@
         parts = (PromptPart("own", 20_000),)
         prompt = Prompt(20_000, 20, parts)
         request = Request("r", "POST", "/", "h", [], b"", 0.0, 5.0, prompt)
-        plan = self.fleet.plan(request, LETTERS, "llm", set(), time.monotonic())
+        plan = self.fleet.plan(request, ROUTE, "llm", set(), time.monotonic())
         if plan.prefill is None:
             return
         with pytest.raises(UpstreamError):
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -1,4 +1,7 @@
-"""Which cuts of a connection count as a crash under its request, without a network."""
+"""Which cuts of a connection count as a crash under its request, without a network.
+
+A cut alone shows no crash: counted as one, it would quarantine harmless work.
+"""
 
 import asyncio
 import time
@@ -20,17 +23,17 @@
 class Probe:
     """Returns after a moment whether an instance has crashed."""
 
-    answer: bool | None
+    result: bool | None
 
     async def has_crashed(self, instance):
         await asyncio.sleep(0.01)
-        return self.answer
+        return self.result
 
 
-def relay_with(answer):
+def relay_with(probe_result):
     fleet = FleetView("dc1", None, lambda: 1, lambda instance_id: None)
     relay = Relay(fleet, None, ServeMetrics())
-    relay.crash_probe = Probe(answer)
+    relay.crash_probe = Probe(probe_result)
     return relay
 
 
@@ -46,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer, leaving, gone_later, crashes",
+    "probe_result, leaving, terminates_later, crashes",
     [
         (True, False, False, 1),
         # It accepts connections: only this one was cut.
@@ -59,12 +62,16 @@
     ],
 )
 def test_cut_counts_as_a_crash_only_if_the_instance_terminated(
-    answer, leaving, gone_later, crashes
+    probe_result, leaving, terminates_later, crashes
 ):
-    relay, instance, work = relay_with(answer), engine(leaving), request().fingerprint
+    relay, instance, work = (
+        relay_with(probe_result),
+        engine(leaving),
+        request().fingerprint,
+    )
     asyncio.run(relay.probe_after_cut(request(), instance))
     quarantine = relay.fleet.quarantine
-    if gone_later:
+    if terminates_later:
         quarantine.record_termination(instance.id, time.monotonic())
     assert quarantine.count(work) == crashes
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -27,8 +27,7 @@
 
 
 class Engine:
-    """Terminates when it reads the marked body, and cuts the responses to other
-    requests."""
+    """Terminates on the marked body; cuts the responses to other requests."""
 
     def __init__(self, name):
         self.name = name
@@ -107,8 +106,7 @@
     [(CRASHING_BODY, ResultCode.QUARANTINED), (HARMLESS_BODY, None)],
 )
 def test_work_that_crashed_three_upstreams_is_sent_to_none(send, body, code):
-    """Engines that crash under a request are back a moment later and would get it
-    again.
+    """Engines that crash under a request restart at once and would get it again.
 
     Engines that only cut its responses are retried.
     """
@@ -175,7 +173,7 @@
 def test_503_only_for_a_call_that_has_not_run(listening, status, code):
     """A look-up is sent to two instances and both cut the response, so it may have run.
 
-    A 503, which promises that it has not run and never will, would be wrong.
+    A 503, which guarantees that it has not run and never will, would be wrong.
     """
 
     async def run():
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -5,7 +5,8 @@
 All engines of the pool are down within a second, again and again, with everything else
 that runs on them. It comes about when a VM remembers failures only by engine, not by
 the request that caused them: without the quarantine 7 to 9 calls still reach engines
-after the third crash. One such request had a prompt that was already whole in the
+after the third crash. Four engines in a row crashed under requests of one size, each
+with a new id at another VM, whose prompt an earlier request had left complete in the
 engine's cache.
 """
 
@@ -36,7 +37,7 @@
 #: Seconds for which a stream has run when its engine crashes, well above those within
 #: which the stream could be to blame.
 STREAM_RUN_SECONDS = 0.4
-#: Seconds until engines that have just crashed are back and known again.
+#: Seconds until engines that have just crashed have restarted and registered.
 RECOVERY_SECONDS = 1.2
 
 
@@ -98,9 +99,11 @@
     "prefix", [RESUMABLE_PATH, STREAM_PATH, IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH]
 )
 def test_request_that_crashed_three_engines_is_sent_by_no_vm(fleet, prefix):
-    """A client repeats a request that crashes every engine that runs it, at any VM:
-    those that saw the crashes, one that saw none of them, one that has just started.
-    Without the quarantine, engines go on crashing under it."""
+    """A client repeats a request that crashes every engine that runs it.
+
+    It is sent to VMs that saw the crashes, that saw none of them and that have just
+    started. Without the quarantine, engines keep crashing under it.
+    """
     crash_engines(fleet, prefix)
     time.sleep(CONTACT_SECONDS)
     fleet.start("entry-3")
@@ -118,10 +121,11 @@
 
 
 def test_stream_that_ran_beside_a_crashing_request_is_not_blamed(tmp_path):
-    """Three times in a row an engine crashes, each time by another request, while it
-    has been sending events of the same stream for a while. The stream must be served
-    when it comes a fourth time: had it been to blame, the engine would have crashed at
-    once."""
+    """Three times an engine crashes, by another request each time, during one stream.
+
+    The stream had been running for a while each time. It must be served when it is sent
+    a fourth time: had it been to blame, the engine would have crashed at once.
+    """
     fleet = PlatformFleet(tmp_path)
     fleet.write("op/config", config(3))
     add(fleet, "d1", "llm", "decode")
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency records, on an in-process store that loses answers."""
+"""Idempotency records, on an in-process store that loses responses."""
 
 import asyncio
 import types
@@ -57,17 +57,20 @@
         (0, 0, ResultCode.OK, 1),
         (1, 0, ResultCode.OK, 1),
         (2, 0, ResultCode.OK, 1),
-        # The claim took effect, its answer was lost, and then the store went down: the
-        # call is not made, and the caller is told so.
+        # The claim took effect, its response was lost, and then the store went down:
+        # the call is not made, and the client gets NOT_RUN.
         (1, 1, ResultCode.NOT_RUN, 0),
         (1, 3, ResultCode.NOT_RUN, 0),
     ],
 )
-def test_call_runs_once_when_the_store_loses_answers(
+def test_call_runs_once_when_the_store_loses_responses(
     lost_writes, failing_reads, first, runs
 ):
-    # After a NOT_RUN the kiosk repeats the key, at any entry. The call must run then: a
-    # claim left by the first attempt would block it, and the renewal would be lost.
+    """After a NOT_RUN the client repeats the key, at any entry.
+
+    The call must run then: a claim left by the first attempt would block it, and the
+    renewal would be lost.
+    """
     state, reached = StoreState(), []
     daemon, call = _call(
         state, reached, lost_writes=lost_writes, failing_reads=failing_reads
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,9 +1,9 @@
 """Which work counts as crashing instances, decided without a network.
 
-Guards against a request that crashes every instance that runs it and comes again at any
-VM, and against blaming the many requests that merely ran where an instance crashed. The
-limit is three crashes: one may be chance, and work that one crash interrupts is sent to
-a second instance, which may crash as well.
+Guards against a request that crashes every instance that runs it and is sent again to
+any VM, and against blaming the many requests that merely ran where an instance crashed.
+The limit is three crashes: one may be chance, and work that one crash interrupts is
+sent to a second instance, which may crash as well.
 """
 
 import asyncio
@@ -132,13 +132,15 @@
 
 
 @pytest.mark.parametrize(
-    "events, held", [row[1:] for row in HISTORIES], ids=[row[0] for row in HISTORIES]
+    "events, quarantined",
+    [row[1:] for row in HISTORIES],
+    ids=[row[0] for row in HISTORIES],
 )
-def test_work_is_quarantined_after_three_crashes(events, held):
+def test_work_is_quarantined_after_three_crashes(events, quarantined):
     quarantine = Quarantine()
     for now, event in events:
         event(quarantine, now)
-    assert quarantine.is_quarantined(WORK, 100.0) is held
+    assert quarantine.is_quarantined(WORK, 100.0) is quarantined
     assert not quarantine.is_quarantined(OTHER, 100.0)
 
 
@@ -226,7 +228,7 @@
 
 
 @pytest.mark.parametrize(
-    "instances, seconds, kept",
+    "instances, seconds, retained",
     [
         (("a",), SUSPECT_RETENTION_SECONDS - 1, True),
         (("a", "b"), SUSPECT_RETENTION_SECONDS + 1, False),
@@ -234,10 +236,10 @@
         (("a", "b", "c"), QUARANTINE_RETENTION_SECONDS + 1, False),
     ],
 )
-def test_retention_of_stored_crashes(instances, seconds, kept):
+def test_retention_of_stored_crashes(instances, seconds, retained):
     quarantine = Quarantine()
     stored(*instances)(quarantine, 1.0)
-    assert (quarantine.expired(1000.0 + seconds) == []) is kept
+    assert (quarantine.expired(1000.0 + seconds) == []) is retained
 
 
 @pytest.mark.parametrize(
@@ -269,7 +271,7 @@
 
 
 class Store:
-    """A store that keeps what is written; while ``failing``, every call fails."""
+    """A store in memory; while ``failing``, every call fails."""
 
     def __init__(self):
         self.values = {}
@@ -305,10 +307,9 @@
 
 
 def test_restarted_vm_reads_all_crashes_from_the_store():
-    """All VMs lose power after three engines crashed under a request, which comes
-    again.
+    """All VMs lose power after three engines crashed under a request.
 
-    Only the store remembers the crashes, whichever VMs wrote them.
+    When it is sent again, only the store has the crashes, whichever VMs wrote them.
     """
     store = Store()
     for instance in ("a", "b", "c"):
@@ -337,11 +338,14 @@
 
 
 def test_crash_seen_by_a_vm_cut_off_from_the_store_is_written_by_a_peer():
-    """A VM that can't reach the store sees two engines crash under a request; the third
-    crashes at another VM. Its peers get its reports and write what it couldn't."""
-    store, away = Store(), Store()
-    away.failing = True
-    cut_off, peer = make_sync(away), make_sync(store)
+    """A VM that can't reach the store sees two engines crash under a request.
+
+    The third crash is seen by another VM. The peers receive the first VM's reports and
+    write what it couldn't.
+    """
+    store, unreachable = Store(), Store()
+    unreachable.failing = True
+    cut_off, peer = make_sync(unreachable), make_sync(store)
     crashed("a", "b")(cut_off.quarantine, 1.0)
     failed(cut_off.quarantine, 1.0)
     for crash in cut_off.quarantine.take_updates(1.1):
