--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    "probe_result, leaving, terminates_later, crashes",
+    "answer, leaving, gone_later, crashes",
     [
         (True, False, False, 1),
         # It accepts connections: only this one was cut.
@@ -62,16 +62,12 @@
     ],
 )
 def test_cut_counts_as_a_crash_only_if_the_instance_terminated(
-    probe_result, leaving, terminates_later, crashes
+    answer, leaving, gone_later, crashes
 ):
-    relay, instance, work = (
-        relay_with(probe_result),
-        engine(leaving),
-        request().fingerprint,
-    )
+    relay, instance, work = relay_with(answer), engine(leaving), request().fingerprint
     asyncio.run(relay.probe_after_cut(request(), instance))
     quarantine = relay.fleet.quarantine
-    if terminates_later:
+    if gone_later:
         quarantine.record_termination(instance.id, time.monotonic())
     assert quarantine.count(work) == crashes
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -132,15 +132,13 @@
 
 
 @pytest.mark.parametrize(
-    "events, quarantined",
-    [row[1:] for row in HISTORIES],
-    ids=[row[0] for row in HISTORIES],
+    "events, held", [row[1:] for row in HISTORIES], ids=[row[0] for row in HISTORIES]
 )
-def test_work_is_quarantined_after_three_crashes(events, quarantined):
+def test_work_is_quarantined_after_three_crashes(events, held):
     quarantine = Quarantine()
     for now, event in events:
         event(quarantine, now)
-    assert quarantine.is_quarantined(WORK, 100.0) is quarantined
+    assert quarantine.is_quarantined(WORK, 100.0) is held
     assert not quarantine.is_quarantined(OTHER, 100.0)
 
 
@@ -228,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    "instances, seconds, retained",
+    "instances, seconds, kept",
     [
         (("a",), SUSPECT_RETENTION_SECONDS - 1, True),
         (("a", "b"), SUSPECT_RETENTION_SECONDS + 1, False),
@@ -236,10 +234,10 @@
         (("a", "b", "c"), QUARANTINE_RETENTION_SECONDS + 1, False),
     ],
 )
-def test_retention_of_stored_crashes(instances, seconds, retained):
+def test_retention_of_stored_crashes(instances, seconds, kept):
     quarantine = Quarantine()
     stored(*instances)(quarantine, 1.0)
-    assert (quarantine.expired(1000.0 + seconds) == []) is retained
+    assert (quarantine.expired(1000.0 + seconds) == []) is kept
 
 
 @pytest.mark.parametrize(
