--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -128,6 +128,7 @@
 
     @property
     def record_key(self):
+        """The store key of the idempotency record."""
         return f"{defaults.IDEMPOTENCY_PREFIX}{self.tenant}/{self.kind}/{self.key}"
 
     def idempotent(self):
--- a/src/mulberrydock/quarantine.py
+++ b/src/mulberrydock/quarantine.py
@@ -22,7 +22,7 @@
 CRASH_LIMIT = 3
 #: Seconds before a crash is reported, in which the interrupted request may still be
 #: served elsewhere: most are, and need no call to the store. Well below the contact
-#: time.
+#: time, within which all VMs in contact with each other must know of a crash.
 REPORT_DELAY_SECONDS = 1.0
 #: Seconds after which a VM writes a crash that a peer reported, if the peer hasn't,
 #: being cut off from the store; up to twice as long, so that not all VMs write.
