--- a/src/mulberrydock/configuration.py
+++ b/src/mulberrydock/configuration.py
@@ -29,7 +29,7 @@
 
 
 class ConfigFollower:
-    """Keeps the newest valid declared configuration.
+    """The newest valid declared configuration, followed in the store.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param settings: the process's settings, against which declared names are checked.
@@ -75,12 +75,12 @@
             self.accept(version, value, time.monotonic())
 
     async def run(self):
-        """Follow the key until cancelled."""
+        """Follow the key until cancelled; an outage keeps the last accepted version."""
         await PrefixWatch(self.store, defaults.CONFIG_KEY, self._on_item).run()
 
 
 class PeerConfigFetcher:
-    """Fetches the configuration from other entries while the store is unavailable.
+    """The task that asks other entries for the configuration in a store outage.
 
     An entry that starts during an outage would only have what its settings file
     declares, which may be older than what was in force on this VM before. Until it
--- a/src/mulberrydock/control.py
+++ b/src/mulberrydock/control.py
@@ -134,7 +134,7 @@
     async def adopt_plan(self):
         """Read the plan that the previous leader wrote; return whether it worked.
 
-        Its cordons count from now on, so that an engine that it was draining stays
+        Its cordons count from now on, so that an engine that it was emptying stays
         cordoned and isn't ordered too early.
         """
         if self.plan_token == self.lease.authority.token:
@@ -177,7 +177,7 @@
         return True
 
     async def fence(self, views):
-        """Send each engine, once in this term, an order that changes nothing.
+        """Send each engine, once per term as leader, an order that changes nothing.
 
         It increases the engine's order count, and its token if it checks tokens. The
         engine then refuses orders of an earlier leader that arrive late, as they carry
--- a/src/mulberrydock/directory.py
+++ b/src/mulberrydock/directory.py
@@ -14,7 +14,7 @@
 
 @attrs.define
 class Directory:
-    """Selects the addresses for clients that ask where to connect.
+    """The addresses for clients that ask where to connect.
 
     Needed with hundreds of VMs in several data centres: a client gets those of its
     own data centre, so that its requests don't cross between data centres, which is
@@ -54,5 +54,6 @@
 
         VMs that know the same live peers agree on the order.
         """
+        # "duty" is the hash key that stands for the leader lease.
         own = rank("duty", self.groups.name)
         return sum(rank("duty", name) < own for name in self.groups.live_peers(now))
--- a/src/mulberrydock/fleet.py
+++ b/src/mulberrydock/fleet.py
@@ -33,7 +33,7 @@
 #: Test fleets use the ports from here to the ephemeral range; the deployments in this
 #: package use ports below.
 MIN_TEST_PORT = 19000
-#: Ports of a process that starts fleets; enough for several of the largest at once.
+#: Ports of a process that starts fleets: enough for several of the largest at once.
 PORTS_PER_BLOCK = 512
 
 
@@ -131,7 +131,7 @@
 
     :param timeout: seconds to wait.
     :param check: called with the body; must be true as well.
-    :raises TimeoutError: when the time is over.
+    :raises TimeoutError: when that takes longer.
     """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -66,8 +66,8 @@
     def record_misdirected(self, instance, answering, now):
         """Record that ``instance`` refused a call as not meant for it.
 
-        Either another instance has its address now, or its stage differs from the
-        one in its record; in both cases it can't be used for the moment.
+        Either another instance has its address now, or its record doesn't have its
+        current stage yet; in both cases it can't be used for the moment.
 
         :param answering: id of the instance that answered, empty if unknown.
         """
@@ -122,7 +122,7 @@
         )
 
     def _healthy(self, instances, now):
-        """Return the instances that neither this VM nor its peers suspect, or all."""
+        """Return the instances that neither this VM nor its peers avoid, or all."""
         return self.suspicion.healthy(
             instances, now, self.loads.suspected_by_peers(now)
         )
--- a/src/mulberrydock/instance_feed.py
+++ b/src/mulberrydock/instance_feed.py
@@ -13,7 +13,7 @@
 
 
 class InstanceFeed:
-    """Applies records to an :class:`~mulberrydock.instances.InstanceRegistry`.
+    """Decoder that feeds an :class:`~mulberrydock.instances.InstanceRegistry`.
 
     Anything may be written under the instances' prefix. A value that can't be
     decoded adds no instance and doesn't affect other records.
--- a/src/mulberrydock/instances.py
+++ b/src/mulberrydock/instances.py
@@ -36,8 +36,9 @@
 class InstanceRecord:
     """An instance's own record in the store.
 
-    ``slots`` is the number of requests that it serves at once; ``started_at_ms`` is the
-    Unix time of its start in milliseconds, None if the record has none.
+    ``address`` is ``host:port``; ``slots`` is the number of requests that it serves at
+    once; ``started_at_ms`` is the Unix time of its start in milliseconds, None if the
+    record has none.
     """
 
     id: str
@@ -82,8 +83,8 @@
 
     ``leaving`` is set when it accepts no new work, ``terminated`` when it has been
     removed from the registry, ``unreadable`` while its record can't be decoded;
-    ``expired_at`` is the time since which its record has been missing because of a
-    store outage.
+    ``expired_at`` is the time (monotonic seconds) since which its record has been
+    missing because of a store outage.
     """
 
     record: InstanceRecord
@@ -205,9 +206,9 @@
         """Return the known incarnation that ``record`` is about, or a later one.
 
         A different start time or address means that the instance has restarted.
-        The former incarnation is then dropped and None returned: its cache, its
-        order count and its requests are lost, and nothing stored about it may be
-        used for the new one.
+        The former incarnation is then dropped before anything is sent to the new
+        one, and None returned: its cache, its order count and its requests are lost,
+        and nothing stored about it may be used for the new one.
         """
         known = self.instances.get(record.id)
         if known is None or _is_older(record, known.record):
--- a/src/mulberrydock/lease.py
+++ b/src/mulberrydock/lease.py
@@ -24,7 +24,10 @@
 
 @attrs.define
 class Authority:
-    """The lease that a controller holds, if any; times are the clock's seconds."""
+    """The lease that a controller holds; ``token`` is 0 while it holds none.
+
+    Times are seconds of the clock of :class:`LeaderLease`.
+    """
 
     lease: int = 0
     token: int = 0
@@ -42,7 +45,7 @@
 
 
 class LeaderLease:
-    """Acquires and renews the leader lease.
+    """The leader lease, as one candidate acquires, renews and releases it.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param name: this controller's name, written to the leader record.
--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -32,7 +32,7 @@
 
 
 class Membership:
-    """Registers this entry and follows the records of the others.
+    """The registration of this entry, and the registered peers.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param entry: this entry's settings row.
@@ -112,9 +112,10 @@
         return False
 
     def discard_lease(self):
-        """Register again, as the store has lost the lease.
+        """Drop the lease without revoking it, as the store has lost it.
 
-        Its id may have been given to another entry since.
+        Its id may have been given to another client since. :meth:`keep_alive`
+        registers again.
         """
         self.lease = 0
         self.registered = False
--- a/src/mulberrydock/peer_messages.py
+++ b/src/mulberrydock/peer_messages.py
@@ -24,12 +24,12 @@
 
     @classmethod
     def from_row(cls, row):
-        """Build it from its row in a datagram."""
+        """Build a limit from its row in a datagram."""
         return cls(row.instance, row.rate or None, row.ageMs / 1000)
 
     @property
     def row(self):
-        """Its row in a datagram."""
+        """The row of this limit in a datagram."""
         age_ms = max(0, int(self.age * 1000))
         return {"instance": self.instance, "rate": self.rate or 0.0, "ageMs": age_ms}
 
@@ -91,14 +91,14 @@
     ]
 
 
-def _prefill_rows(reads):
+def _prefill_rows(prefills):
     return [
         {
             "instance": instance,
             "keys": [key for key, _ in rows],
             "tokens": [tokens for _, tokens in rows],
         }
-        for instance, rows in reads.items()
+        for instance, rows in prefills.items()
     ]
 
 
--- a/src/mulberrydock/peers.py
+++ b/src/mulberrydock/peers.py
@@ -21,11 +21,11 @@
 #: with 40, as in a data centre of a fleet of 200, the interval is half a second, and
 #: decoding the messages takes 1% of a core.
 PEERS_AT_FULL_RATE = 16
-#: One message in this many carries the pool estimates and all rate limits: they
-#: change over seconds.
+#: One message in this many carries the pool estimates, which change over seconds, and
+#: all rate limits instead of only the recent changes.
 MESSAGES_PER_POOL_REPORT = 5
-#: Seconds between two sums that a reporter sends to the other data centres. Loads
-#: known there are up to this plus one message interval within the data centre old.
+#: Seconds between two sums that a reporter sends to the other data centres. The loads
+#: known there may be as old as this and one message interval within the data centre.
 SUM_INTERVAL_SECONDS = 0.4
 #: A reporter relays a data centre's sum when the last one was relayed, by itself or
 #: another reporter, this share of the sum interval ago or more, times one plus its
@@ -34,11 +34,12 @@
 
 
 class PeerLink(asyncio.DatagramProtocol):
-    """Exchanges loads, estimates, crashes and rate limits with this VM's peers.
+    """The exchange of loads, estimates, crashes and rate limits with the peers.
 
     :param name: this VM's name.
     :param tracker: the :class:`~mulberrydock.peer_loads.LoadTracker` whose loads
-        are sent and to which received ones are added; likewise the objects below.
+        are sent and to which received ones are added; likewise ``estimates``,
+        ``quarantine`` and ``limits``.
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which choose the
         receivers.
     :param leaving: returns True once this VM drains.
@@ -98,7 +99,7 @@
         now = time.monotonic()
         try:
             update = peer_messages.decode(data, now)
-        except Exception as error:  # capnp raises its own unlisted types
+        except Exception as error:  # capnp raises undocumented types
             logger.warning("peer message refused", source=addr[0], error=repr(error))
             return
         self._apply_limits(update.limits, now)
--- a/src/mulberrydock/rollout.py
+++ b/src/mulberrydock/rollout.py
@@ -55,7 +55,10 @@
 
 @attrs.define
 class Actions:
-    """The decisions of one pass: names of engines to cordon, release and order."""
+    """The decisions of one pass: names of engines to cordon, release and order.
+
+    ``hold`` lists those to cordon.
+    """
 
     hold: list = attrs.field(factory=list)
     release: list = attrs.field(factory=list)
@@ -63,10 +66,10 @@
 
 
 class Rollout:
-    """Decides which engines may be changed.
+    """The decision which engines may be changed, from pass to pass.
 
-    :attr:`cordoned` maps an engine's name to the time when its cordon was written to
-    the store.
+    :attr:`cordoned` maps an engine's name to the time (monotonic seconds) when its
+    cordon was written to the store.
     """
 
     def __init__(self):
@@ -105,10 +108,10 @@
         return view.current_target == target and view.available
 
     def _empty(self, view, now):
-        held_at = self.cordoned.get(view.name)
-        if held_at is None:
+        cordoned_at = self.cordoned.get(view.name)
+        if cordoned_at is None:
             return False
         # A report made before the entries acted on the cordon may lack a request
         # sent since; only a later one proves that the engine is idle.
-        in_force = held_at + CORDON_SETTLE_SECONDS
+        in_force = cordoned_at + CORDON_SETTLE_SECONDS
         return view.reported_at >= in_force and view.running + view.waiting == 0
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -56,7 +56,7 @@
 #: was acquired: covers four calls to the store and a busy VM.
 TAKEOVER_MARGIN_SECONDS = 0.3
 #: Share of the grace period in which a stopping VM still accepts requests (3.2 s of
-#: 8 s): a request accepted later could be cut when the grace period ends.
+#: the platform's 8 s): a request accepted later could be cut when the period ends.
 ACCEPT_SHARE = 0.4
 #: Minimum number of seconds for which later requests are refused before the end.
 MIN_REFUSE_SECONDS = 0.5
@@ -79,7 +79,13 @@
 
 
 class ServeDaemon:
-    """The process of one entry VM. Create it with :meth:`from_settings`."""
+    """The process of one entry VM. Create it with :meth:`from_settings`.
+
+    :param settings: a :class:`~mulberrydock._serve_model.ServeSettings`.
+    :param store: a :class:`~mulberrydock.platform.PlatformStore`.
+    :param wire: encodes the calls to instances and decodes their responses.
+    :param log_sink: sink of the log, whose count of dropped lines becomes a metric.
+    """
 
     def __init__(self, settings, store, wire, log_sink):
         self.settings = settings
@@ -258,7 +264,7 @@
         self.membership.finish_reload()
 
     def watch_pause(self):
-        """Return the seconds between an answer with changes and the next poll."""
+        """Return the seconds between a response with changes and the next poll."""
         return self.settings.timing.config_apply_seconds * WATCH_PAUSE_SHARE
 
     def _watch(self):
--- a/src/mulberrydock/stage_controller.py
+++ b/src/mulberrydock/stage_controller.py
@@ -34,7 +34,7 @@
 
 @attrs.define
 class StageController:
-    """Plans stage changes, and orders them while this VM is the leader.
+    """The planner of stage changes, which orders them while this VM is the leader.
 
     :param fleet: the :class:`~mulberrydock.fleet_view.FleetView`.
     :param relay: the :class:`~mulberrydock.relay.Relay` that makes the calls.
@@ -86,7 +86,8 @@
 
         The orders go out together, so that the engines of a large pool are
         unavailable at the same time and write their records at the same time: each
-        change of a record completes the poll of every VM's watch.
+        change of a record completes the poll of every VM's watch, but changes in quick
+        succession come in one response.
         """
         planner = self.planners.setdefault(service.name, StagePlanner())
         engines = self.fleet.instances.serving(service.name)
@@ -131,8 +132,8 @@
         call = self.wire.stage_order_call(
             instance.record, change.stage.value, report.orders, self.name, token
         )
-        answer = await self.relay.call(instance, call, ORDER_TIMEOUT_SECONDS)
-        status = answer.status if answer else None
+        response = await self.relay.call(instance, call, ORDER_TIMEOUT_SECONDS)
+        status = response.status if response else None
         logger.info(
             "order",
             instance=instance.id,
--- a/src/mulberrydock/store.py
+++ b/src/mulberrydock/store.py
@@ -1,6 +1,6 @@
 """Client of the platform store's protocol (see ``standin.store``).
 
-Every call returns an :class:`expression.Result`: ``Ok`` with the answer, or
+Every call returns an :class:`expression.Result`: ``Ok`` with the result, or
 ``Error`` with a :class:`~mulberrydock.exceptions.StoreError`. The client never
 retries: whether a call may be repeated is the caller's decision.
 """
@@ -57,7 +57,8 @@
     :param timeout: seconds of one call.
     """
 
-    #: Constant, as this store is never restored from an older copy.
+    #: The store's era, which rises when the store is restored from an older copy.
+    #: Constant, as this store never is.
     era = 0
 
     def __init__(self, address, timeout=defaults.STORE_CALL_TIMEOUT_SECONDS):
@@ -147,7 +148,11 @@
         return Ok(document[field])
 
     async def watch(self, prefix, after, timeout=defaults.WATCH_TIMEOUT_SECONDS):
-        """Long-poll for changes under ``prefix`` newer than revision ``after``."""
+        """Long-poll for changes under ``prefix`` newer than revision ``after``.
+
+        :param timeout: seconds for which the store waits for a change.
+        :returns: ``Ok(WatchBatch)``, without events when the time is over.
+        """
         path = f"/v1/watch?prefix={quote(prefix)}&after={after}&timeout={timeout}"
         result = await self._call("GET", path, timeout=timeout + self.timeout)
         if result.is_error():
--- a/src/mulberrydock/vm_list.py
+++ b/src/mulberrydock/vm_list.py
@@ -15,7 +15,7 @@
 
 
 class VmList:
-    """Polls the list at ``address`` for the names of leaving VMs.
+    """The names of the leaving VMs, polled from the list at ``address``.
 
     :param address: ``host:port`` of the list.
     :param on_change: called with the set of names when it has changed.
--- a/src/mulberrydock/watch.py
+++ b/src/mulberrydock/watch.py
@@ -1,8 +1,8 @@
 """Follows the keys under one prefix of the platform store.
 
-A watch reads the prefix once, then long-polls for changes. During an outage
-nothing changes for its user; when the store has compacted the revisions that the
-watch needs, the prefix is read again.
+A watch reads the prefix once, then long-polls for changes. During an outage it
+reports nothing, so its user's state stays as it was; when the store has compacted
+the revisions that the watch needs, the prefix is read again.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class PrefixWatch:
-    """Follows every key under ``prefix``.
+    """A watch of every key under ``prefix``.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param prefix: key prefix, or one whole key.
--- a/tests/test_authority_model.py
+++ b/tests/test_authority_model.py
@@ -25,7 +25,10 @@
 
 
 class AuthorityMachine(RuleBasedStateMachine):
-    """Two controllers, an engine that checks tokens and one that doesn't."""
+    """Two controllers, an engine that checks tokens and one that doesn't.
+
+    A controller that "seals" an engine fences it, as :meth:`Controller.fence` does.
+    """
 
     def __init__(self):
         super().__init__()
@@ -40,8 +43,8 @@
             EngineState(EngineConfig("a", checks_fencing=True)),
             EngineState(EngineConfig("b", checks_fencing=False)),
         ]
-        self.sealed_by = [0, 0]
-        self.on_their_way = []
+        self.fenced_by = [0, 0]
+        self.in_transit = []
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 2.0, 4.0, 6.0]))
     def time_passes(self, seconds):
@@ -60,7 +63,7 @@
     def pause_or_wake(self, who):
         self.paused[who] = not self.paused[who]
 
-    def _send(self, who, engine, version, seal):
+    def _send(self, who, engine, version, fence):
         lease, state = self.leases[who], self.engines[engine]
         if self.paused[who] or not lease.valid(self.now):
             return
@@ -70,10 +73,10 @@
             "fencing_token": lease.authority.token,
             "expected_sequence": state.sequence,
             "expected_instance": state.instance,
-            "model": state.model if seal else "m",
-            "version": state.version if seal else version,
+            "model": state.model if fence else "m",
+            "version": state.version if fence else version,
         }
-        self.on_their_way.append((engine, body, seal))
+        self.in_transit.append((engine, body, fence))
 
     @rule(who=st.integers(0, 1), engine=st.integers(0, 1))
     def controller_seals(self, who, engine):
@@ -92,29 +95,29 @@
         for _ in range(2):
             self.controller_keeps_or_takes_the_lease(who)
         for engine in (0, 1):
-            sent = len(self.on_their_way)
+            sent = len(self.in_transit)
             self.controller_seals(who, engine)
-            if len(self.on_their_way) > sent:
-                self._arrive(self.on_their_way.pop())
+            if len(self.in_transit) > sent:
+                self._arrive(self.in_transit.pop())
 
     @rule(pick=st.integers(0, 10**6))
     def order_arrives(self, pick):
-        if self.on_their_way:
-            self._arrive(self.on_their_way.pop(pick % len(self.on_their_way)))
+        if self.in_transit:
+            self._arrive(self.in_transit.pop(pick % len(self.in_transit)))
 
     def _arrive(self, row):
-        engine, body, seal = row
+        engine, body, fence = row
         state, token = self.engines[engine], body["fencing_token"]
         applied, _ = state.apply(body, self.now)
         if applied:
-            assert token >= self.sealed_by[engine], "a stale order was applied"
-            if seal:
-                self.sealed_by[engine] = token
+            assert token >= self.fenced_by[engine], "a stale order was applied"
+            if fence:
+                self.fenced_by[engine] = token
 
     @rule(engine=st.integers(0, 1))
     def engine_restarts(self, engine):
         self.engines[engine] = EngineState(self.engines[engine].config)
-        self.sealed_by[engine] = 0
+        self.fenced_by[engine] = 0
 
     @invariant()
     def one_controller_may_order_at_a_time(self):
--- a/tests/test_fleet_ports.py
+++ b/tests/test_fleet_ports.py
@@ -9,7 +9,7 @@
 FLEETS = 30
 PORTS = 20
 
-DRAW = f"""
+ALLOCATE_SCRIPT = f"""
 import sys
 from mulberrydock.fleet import free_ports
 print(*(port for _ in range({FLEETS}) for port in free_ports({PORTS})), flush=True)
@@ -23,7 +23,7 @@
     the slower daemon can't listen. So each run needs ports of its own."""
     runs = [
         subprocess.Popen(
-            [sys.executable, "-c", DRAW],
+            [sys.executable, "-c", ALLOCATE_SCRIPT],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,7 +8,7 @@
 
 @attrs.define
 class Candidate:
-    """The state that a lease queries from its VM."""
+    """The state that a lease queries; ``turn`` is the takeover delay in seconds."""
 
     vacant: bool = True
     turn: float = 0.0
--- a/tests/test_peer_groups.py
+++ b/tests/test_peer_groups.py
@@ -174,9 +174,7 @@
     assert len(addresses) == 8 <= MAX_DIRECT_PEERS
 
 
-def test_all_vms_of_a_very_large_data_centre_get_clients(
-    peer_fleet,
-):
+def test_all_vms_of_a_very_large_data_centre_get_clients(peer_fleet):
     """Guards against VMs without clients in a data centre that has more VMs than fit in
     a response: each VM answers with a different selection."""
     fleet = peer_fleet(a=100)
@@ -193,12 +191,12 @@
     calls to the store each: they try one after the other, without the failed ones."""
     fleet = peer_fleet(**MIDDLE)
     fleet.run(2.0)
-    turns = {
+    ranks = {
         n: Directory(vm.groups, n).takeover_rank(fleet.now)
         for n, vm in fleet.vms.items()
     }
-    assert sorted(turns.values()) == list(range(36))
-    first = sorted(turns, key=turns.get)
+    assert sorted(ranks.values()) == list(range(36))
+    first = sorted(ranks, key=ranks.get)
     fleet.dead = set(first[:dead])
     for vm in fleet.vms.values():
         for name in fleet.dead:
--- a/tests/test_stage_controller.py
+++ b/tests/test_stage_controller.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class Answer:
+class Response:
     """An engine's response to a call."""
 
     status: int
@@ -44,9 +44,9 @@
 
     async def call(self, instance, call, seconds):
         if call == "report":
-            return Answer(200)
+            return Response(200)
         self.ordered.append(call)
-        return Answer(self.status) if self.status else None
+        return Response(self.status) if self.status else None
 
 
 def controller_over(engines, decoders):
@@ -70,9 +70,9 @@
     [(202, 10), (None, 1), (412, 1)],
 )
 def test_changes_of_a_large_pool_are_ordered_together(status, at_once):
-    """Guards against orders one at a time: an idle pool of 40 engines lacks 20 prefill
-    engines, which then takes five seconds, and each change completes the poll of every
-    VM's watch. A quarter of the pool is ordered at once, until one isn't accepted."""
+    """Guards against orders one at a time: for an idle pool of 40 engines, which lacks
+    20 prefill engines, they take 5 s, and each change completes the poll of every VM's
+    watch. A quarter of the pool is ordered at once, until one isn't accepted."""
     engines = Engines(status)
     controller = controller_over(engines, 40)
     assert idle_prefills(40, 12) == 20
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,7 +9,7 @@
 
 from mulberrydock.fleet import free_ports
 from mulberrydock.platform import PlatformStore
-from mulberrydock.standin import store as fake_store
+from mulberrydock.standin import store as standin_store
 from mulberrydock.store import Event, StoreClient, WatchBatch
 from mulberrydock.watch import RECOVERY_POLL_SECONDS, PrefixWatch
 
@@ -35,7 +35,7 @@
     # store, and the first write gets revision 1, which a watch after revision 1 would
     # not return.
     async def go():
-        app = fake_store.make_app()
+        app = standin_store.make_app()
         server = tornado.httpserver.HTTPServer(app)
         (port,) = free_ports(1)
         server.listen(port, address="127.0.0.1")
