--- a/src/mulberrydock/directory.py
+++ b/src/mulberrydock/directory.py
@@ -20,6 +20,8 @@
     own data centre, so that its requests don't cross between data centres, which is
     paid for, and every VM gets its share of the clients, however many VMs there are.
 
+    Methods take the current time as ``now``, in monotonic seconds.
+
     :param groups: the :class:`~mulberrydock.peer_groups.PeerGroups`, which knows the
         live peers.
     :param own_address: this VM's own front address.
--- a/src/mulberrydock/fleet.py
+++ b/src/mulberrydock/fleet.py
@@ -266,6 +266,7 @@
     """A test fleet: its processes, settings and fault proxies before the engines.
 
     :param tmp_path: directory for the settings files.
+    :param engines: number of engines; likewise ``entries``.
     """
 
     def __init__(self, tmp_path, engines=2, entries=2):
--- a/src/mulberrydock/fleet_view.py
+++ b/src/mulberrydock/fleet_view.py
@@ -35,6 +35,8 @@
 class FleetView:
     """Routes, instances, loads, suspicions and estimates of one entry VM.
 
+    Methods take the current time as ``now``, in monotonic seconds.
+
     :param data_centre: the data centre of this VM.
     :param timing: the ``[timing]`` settings, for the retry budget.
     :param vm_count: returns the number of entry VMs, this one included.
--- a/src/mulberrydock/lease.py
+++ b/src/mulberrydock/lease.py
@@ -2,7 +2,8 @@
 
 The leader writes ``control/leader`` under a lease. The store's era, which rises when
 the store is restored from an older copy, and the version of that write make up the
-fencing token; it is larger for every new leader.
+fencing token; it is larger for every new leader. A controller is any candidate here:
+a control daemon or an entry VM.
 """
 
 import asyncio
--- a/src/mulberrydock/membership.py
+++ b/src/mulberrydock/membership.py
@@ -35,7 +35,8 @@
     """The registration of this entry, and the registered peers.
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
-    :param entry: this entry's settings row.
+    :param entry: this entry's name, address and data centre, as a
+        :class:`~mulberrydock.serve.EntryVm` or a row of the settings.
     :param ttl: seconds of the registration lease.
     :param peer_address: ``host:port`` where this entry receives datagrams, empty if
         nowhere.
@@ -150,7 +151,7 @@
         # An error doesn't mean that the lease has expired: keep it and try again.
         return lease == self.lease and (renewed.is_error() or renewed.ok)
 
-    def apply(self, key, value, version):
+    def apply(self, key, value, revision):
         """Apply one entry's record, or its removal when ``value`` is None."""
         name = key[len(defaults.ENTRY_PREFIX) :]
         if value is None:
@@ -160,10 +161,10 @@
         self.expired.pop(name, None)
         if record.leaving:
             self.peers.pop(name, None)
-            logger.info("peer leaving", peer=name, revision=version)
+            logger.info("peer leaving", peer=name, revision=revision)
             return
         if name not in self.peers:
-            logger.info("peer seen", peer=name, revision=version)
+            logger.info("peer seen", peer=name, revision=revision)
         self.peers[name] = Peer(record.address, record.dataCentre, record.peerAddress)
 
     def _expire(self, name):
--- a/src/mulberrydock/peer_groups.py
+++ b/src/mulberrydock/peer_groups.py
@@ -22,6 +22,8 @@
 class PeerGroups:
     """The peers of this VM by role.
 
+    Methods take the current time as ``now``, in monotonic seconds.
+
     :param membership: the :class:`~mulberrydock.membership.Membership`.
     :param tracker: the :class:`~mulberrydock.peer_loads.LoadTracker`, whose reports
         show which peers are reachable.
--- a/src/mulberrydock/watch.py
+++ b/src/mulberrydock/watch.py
@@ -20,8 +20,8 @@
 
     :param store: a :class:`~mulberrydock.store.StoreClient`.
     :param prefix: key prefix, or one whole key.
-    :param on_item: called with ``(key, value, version)``; ``value`` is None
-        when the key was deleted.
+    :param on_item: called with ``(key, value, version)``; ``value`` is None when the
+        key was deleted, ``version`` is the store's revision of the change.
     :param on_reset: called without arguments before a full read is applied.
     :param on_loaded: called without arguments after a full read was applied.
     :param poll_seconds: seconds for which a long poll waits at the store.
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -87,6 +87,8 @@
     ],
 )
 def test_delayed_share(demand, prefilling, expected):
+    # Guards against a wrong comparison of plans: the planner weighs the share of late
+    # tokens against the number of role changes.
     assert delayed_share(demand, 5, prefilling) == pytest.approx(expected)
 
 
