--- a/src/mulberrydock/cli.py
+++ b/src/mulberrydock/cli.py
@@ -233,7 +233,7 @@
     :param settings: settings file, or ``lagos`` / ``montevideo``.
     :param seconds: how long to send.
     :param scale: factor on the request rates of the mix.
-    :param seed: seed of the mix and of the callers' choices.
+    :param seed: seed of the mix and of the clients' choices.
     :param json_out: also write the report as JSON to this file.
     """
     from . import ctl
--- a/src/mulberrydock/ctl.py
+++ b/src/mulberrydock/ctl.py
@@ -117,11 +117,11 @@
         ):
             for row in rows:
                 try:
-                    _, answer = await fetch_json(http, "GET", row.address, path)
+                    _, state = await fetch_json(http, "GET", row.address, path)
                 except Exception as error:
-                    answer = {"error": str(error)}
-                answer.pop("orders", None)
-                document[group][row.name] = answer
+                    state = {"error": str(error)}
+                state.pop("orders", None)
+                document[group][row.name] = state
         return CtlResult(0, document)
 
     return asyncio.run(go())
@@ -137,7 +137,7 @@
 
     :param seconds: how long to send.
     :param scale: factor on the request rates of the mix.
-    :param seed: seed of the mix and of the callers' choices.
+    :param seed: seed of the mix and of the clients' choices.
     :returns: a :class:`LoadReport`.
     """
     seeds = [e.address for e in settings.entries]
--- a/src/mulberrydock/defaults.py
+++ b/src/mulberrydock/defaults.py
@@ -18,7 +18,7 @@
 
 #: Time to live of an entry's registration lease.
 ENTRY_LEASE_TTL_SECONDS = 6.0
-#: How long the store lets a long-poll watch wait before it answers without events.
+#: How long the store lets a long-poll watch wait before it responds without events.
 WATCH_TIMEOUT_SECONDS = 5.0
 #: Delay before a failed store call is retried.
 STORE_RETRY_SECONDS = 0.25
@@ -29,7 +29,7 @@
 CONNECT_TIMEOUT_SECONDS = 1.0
 #: Timeout between two bytes of a streaming upstream.
 STREAM_IDLE_TIMEOUT_SECONDS = 3.0
-#: Timeout of a whole (non-streaming) upstream answer.
+#: Timeout of a complete, unstreamed upstream response.
 REQUEST_TIMEOUT_SECONDS = 60.0
 #: Minimum time for which a draining entry keeps its listener open and refuses new
 #: requests with DRAINING.
@@ -38,7 +38,7 @@
 LOAD_POLL_SECONDS = 0.5
 #: Interval at which an entry polls an engine's cache events.
 CACHE_POLL_SECONDS = 0.5
-#: Value of Retry-After in the answer to a request that was shed.
+#: Value of Retry-After in the response to a request that was shed.
 RETRY_AFTER_SECONDS = 1
 
 #: HTTP header naming the tenant of a request.
@@ -47,9 +47,9 @@
 CLASS_HEADER = "X-Priority-Class"
 #: HTTP header with the request id that the entry assigned.
 REQUEST_ID_HEADER = "X-Request-Id"
-#: HTTP header with the caller's idempotency key.
+#: HTTP header with the client's idempotency key.
 IDEMPOTENCY_HEADER = "Idempotency-Key"
-#: HTTP header with the numbered result code of an answer.
+#: HTTP header with the numbered result code of a response.
 RESULT_HEADER = "X-Result-Code"
 #: HTTP header to an engine: rank of the priority class; lower ranks are served first.
 RANK_HEADER = "X-Priority-Rank"
--- a/src/mulberrydock/exceptions.py
+++ b/src/mulberrydock/exceptions.py
@@ -85,15 +85,15 @@
 
 
 class UpstreamError(MulberrydockError):
-    """An engine or application service failed to answer, or answered invalidly."""
+    """An engine or application service gave no response or an invalid one."""
 
     code = ResultCode.UPSTREAM_FAILED
 
 
 class ConnectionCut(UpstreamError):
-    """The connection closed before the answer was complete.
+    """The connection closed before the response was complete.
 
-    This is what an instance that crashes looks like to its caller.
+    This is also what the crash of an instance looks like to its client.
     """
 
 
--- a/src/mulberrydock/load.py
+++ b/src/mulberrydock/load.py
@@ -181,8 +181,9 @@
         self.http = tornado.httpclient.AsyncHTTPClient(max_clients=200)
 
     async def choose_entry(self, now):
-        """Return the address of a random entry, from a new list when the cached one
-        expired.
+        """Return the address of a random entry.
+
+        The entry list is fetched again when the cached one has expired.
 
         :param now: monotonic seconds.
         """
@@ -279,10 +280,10 @@
             final.
         """
         address = await self.choose_entry(time.monotonic())
-        pieces, times = [], []
+        chunks, times = [], []
 
         def on_chunk(chunk):
-            pieces.append(chunk)
+            chunks.append(chunk)
             times.append(time.monotonic())
 
         request = self._request(address, kind, tenant, on_chunk)
@@ -304,7 +305,7 @@
                 self.drop_entry(address)
             pause = float(response.headers.get("Retry-After", 0))
             return max(pause, MIN_RETRY_PAUSE_SECONDS)
-        body = b"".join(pieces) if kind.stream else (response.body or b"")
+        body = b"".join(chunks) if kind.stream else (response.body or b"")
         result.ok = response.code == 200
         result.complete = result.ok and _is_complete(kind, response, body)
         if times:
--- a/src/mulberrydock/metrics.py
+++ b/src/mulberrydock/metrics.py
@@ -6,7 +6,7 @@
 
 import prometheus_client
 
-#: Bounds of the latency buckets in seconds, from a status lookup to a long letter.
+#: Bounds of the latency buckets in seconds, from a status lookup to a long stream.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32, 64)
 
 
@@ -60,7 +60,7 @@
     def tenant_label(self, tenant):
         """Return the label for ``tenant``; beyond the bound, OTHER_TENANTS_LABEL.
 
-        Callers name their tenant in a header: without a bound, invented names would
+        Clients name their tenant in a header: without a bound, invented names would
         fill the daemon's memory with time series.
         """
         if tenant not in self.tenants:
--- a/src/mulberrydock/platform/documents.py
+++ b/src/mulberrydock/platform/documents.py
@@ -15,12 +15,12 @@
 
 #: Lower bound of a client's idle timeout: no client abandons a stream earlier.
 MIN_CLIENT_IDLE_TIMEOUT_SECONDS = 2.0
-#: ``state`` of an instance that takes work, and of one that leaves after a planned
-#: notice.
+#: ``state`` of an instance that accepts work, and of one that is draining after a
+#: planned notice.
 READY = "ready"
 DRAINING = "draining"
-#: Raised while decoding a malformed document; RecursionError by JSON that is nested
-#: too deeply for the parser.
+#: Raised while decoding a malformed document; RecursionError when JSON is nested too
+#: deeply for the parser.
 DECODE_ERRORS = (ValueError, KeyError, TypeError, RecursionError)
 
 
--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -17,8 +17,8 @@
 from ..exceptions import StoreError, UpstreamError, VersionConflict
 from ..store import Event, Item, WatchBatch
 
-#: Timeout of one call. The store answers in 4 ms; a changed configuration must be in
-#: force within 2 s, so a lost answer must be detected well before that.
+#: Timeout of one call. The store responds in 4 ms; a changed configuration must be
+#: in force within 2 s, so a lost response must be detected well before that.
 CALL_TIMEOUT_SECONDS = 0.7
 #: Connections to the store: one for each pending watch and a few for other calls.
 MAX_CONNECTIONS = 16
@@ -33,9 +33,9 @@
     Attributes that an owner may set or read:
 
     - ``on_answer``: called after each call, with True when the store answered it.
-    - ``on_era_change``: called when an answer shows a higher era than the last known
+    - ``on_era_change``: called when a response shows a higher era than the last known
       one, that is after the store was restored from an older copy.
-    - ``era``: the highest era seen, None before the first answer.
+    - ``era``: the highest era seen, None before the first response.
 
     :param address: ``host:port`` of the store.
     :param timeout: seconds of one call.
@@ -55,7 +55,7 @@
         return result
 
     async def _exchange(self, method, path, body, timeout):
-        answer = BufferedResponse()
+        response = BufferedResponse()
         payload = b"" if body is None else json.dumps(body).encode()
         headers = tornado.httputil.HTTPHeaders({"Host": self.address})
         if body is not None:
@@ -65,28 +65,28 @@
             headers["Content-Length"] = "0"
         try:
             await asyncio.wait_for(
-                self.pool.exchange(method, path, headers, payload, answer),
+                self.pool.exchange(method, path, headers, payload, response),
                 timeout or self.timeout,
             )
         except (UpstreamError, asyncio.TimeoutError) as error:
             return Error(StoreError(f"{method} {path}: {error!r}"))
-        if not self._update_era(answer.headers):
+        if not self._update_era(response.headers):
             return Error(
                 StoreError(
-                    f"{method} {path}: answer from a store era before {self.era}"
+                    f"{method} {path}: response from a store era before {self.era}"
                 )
             )
-        if answer.status in (429, 500, 502, 503, 504):
-            return Error(StoreError(f"{method} {path}: status {answer.status}"))
+        if response.status in (429, 500, 502, 503, 504):
+            return Error(StoreError(f"{method} {path}: status {response.status}"))
         try:
-            return Ok((answer.status, json.loads(answer.body or b"{}")))
+            return Ok((response.status, json.loads(response.body or b"{}")))
         except ValueError as error:
             return Error(StoreError(f"{method} {path}: {error}"))
 
     def _update_era(self, headers):
-        """Update the known era from an answer's headers.
+        """Update the known era from a response's headers.
 
-        :returns: False when the answer is of an earlier era, whose data the store no
+        :returns: False when the response is of an earlier era, whose data the store no
             longer has.
         """
         text = headers.get(STORE_ERA, "")
@@ -203,7 +203,7 @@
     async def keepalive(self, lease):
         """Extend ``lease``: ``Ok(True)``, or ``Ok(False)`` when it has expired."""
         result = await self._call("POST", f"/kv-keep/{lease}")
-        return result.map(lambda answer: answer[0] == 200)
+        return result.map(lambda response: response[0] == 200)
 
     async def revoke(self, lease):
         """End ``lease`` and delete its keys."""
--- a/src/mulberrydock/platform/wire.py
+++ b/src/mulberrydock/platform/wire.py
@@ -131,7 +131,7 @@
         )
 
     def response_headers(self, headers):
-        """Return the end-to-end headers of an upstream's answer.
+        """Return the end-to-end headers of an upstream's response.
 
         :returns: a list of (name, value) pairs.
         """
@@ -143,7 +143,7 @@
             return KvHandle(address, document["kv_handle"], int(document["tokens"]))
         except (ValueError, KeyError, TypeError) as error:
             raise UpstreamError(
-                f"unreadable prefill answer from {address}: {error!r}"
+                f"unreadable prefill response from {address}: {error!r}"
             ) from error
 
     def release_call(self, handle):
@@ -229,9 +229,9 @@
 
 
 def resolve_body(addresses, ttl_seconds):
-    """Return the JSON body of a resolve answer.
+    """Return the JSON body of a resolve response.
 
     :param addresses: ``host:port`` of the entry VMs that the client may use.
-    :param ttl_seconds: seconds for which the client may cache the answer.
+    :param ttl_seconds: seconds for which the client may cache the response.
     """
     return json.dumps({"addresses": addresses, "ttl_s": ttl_seconds}).encode()
--- a/src/mulberrydock/schema/messages.capnp
+++ b/src/mulberrydock/schema/messages.capnp
@@ -28,10 +28,10 @@
   }
   owner @0 :Text;          # entry daemon that made the call
   attempt @1 :Text;        # nonce of the attempt: identifies the writer's own record
-                           # when the store's answer to the write was lost
+                           # when the store's response to the write was lost
   state @2 :State;
-  status @3 :UInt16;       # HTTP status of the stored answer
-  body @4 :Data;           # body of the stored answer
+  status @3 :UInt16;       # HTTP status of the stored response
+  body @4 :Data;           # body of the stored response
   createdAt @5 :Float64;   # Unix time in seconds
 }
 
@@ -61,7 +61,7 @@
   service @0 :Text;
   tokens @1 :UInt32;       # prompt tokens that were prefilled
   cached @2 :UInt32;       # tokens before them that were in the engine's KV cache
-  seconds @3 :Float32;     # from the call to its answer
+  seconds @3 :Float32;     # from the call to its response
 }
 
 struct PoolRecord {
@@ -95,7 +95,7 @@
   # The rate limit that an instance declares, as sent to peers.
   instance @0 :Text;
   rate @1 :Float64;        # requests per second, 0 when it no longer has a limit
-  ageMs @2 :UInt32;        # since the answer that declared it
+  ageMs @2 :UInt32;        # since the response that declared it
 }
 
 struct PeerMessage {
--- a/src/mulberrydock/standin/__init__.py
+++ b/src/mulberrydock/standin/__init__.py
@@ -1,2 +1,4 @@
-"""Stand-ins for the external systems (store, engines, services, VM list), for tests
-and local fleets."""
+"""Stand-ins for the external systems, for tests and local fleets.
+
+The external systems are the store, the engines, the services and the VM list.
+"""
--- a/src/mulberrydock/standin/batch.py
+++ b/src/mulberrydock/standin/batch.py
@@ -26,7 +26,7 @@
 CACHE_EVENT_LOSS = 0.1
 #: Delay before a cache event is published.
 CACHE_EVENT_DELAY_SECONDS = 0.5
-#: Cache events kept for readers; older ones are dropped, which leaves a gap.
+#: Maximum number of stored cache events; older ones are dropped, which leaves a gap.
 MAX_CACHE_EVENTS = 10000
 #: Time after which an exported KV cache that wasn't fetched is dropped.
 KV_HANDLE_TTL_SECONDS = 10.0
@@ -64,7 +64,7 @@
     """One admitted request.
 
     Tokens ``first_token`` to ``end - 1`` are generated; ``output_queue`` receives their
-    indexes, then :data:`END` or :data:`ABORTED`. ``imported`` tells that the KV cache
+    indexes, then :data:`END` or :data:`ABORTED`. ``imported`` is true when the KV cache
     was fetched from another engine, ``prefill_left`` counts the tokens still to be
     prefilled.
     """
--- a/src/mulberrydock/standin/engine.py
+++ b/src/mulberrydock/standin/engine.py
@@ -1,8 +1,8 @@
 """Stand-in for a model engine that serves the OpenAI completions protocol over HTTP.
 
-``batch`` simulates batching; this module implements the protocol: whole and streamed
-completions, resuming a stream, prefill with an exported KV cache, priorities,
-cancellation when the caller disconnects, load reports that lag, cache events that are
+``batch`` simulates batching; this module implements the protocol: unstreamed and
+streamed completions, resuming a stream, prefill with an exported KV cache, priorities,
+cancellation when the client disconnects, load reports that lag, cache events that are
 late and incomplete, and fenced orders to load a model or change role. See
 ``docs/protocols.md``.
 """
@@ -50,9 +50,9 @@
 class EngineState:
     """State of one engine: model, role, orders, batch and load report.
 
-    ``now`` and the times kept here are monotonic seconds. ``sequence`` counts accepted
-    orders, ``crossed_answers`` how many of the next answers carry the id of another
-    request.
+    All times, the ``now`` arguments included, are monotonic seconds. ``sequence``
+    counts accepted orders, ``crossed_answers`` how many of the next responses carry the
+    id of another request.
     """
 
     def __init__(self, config):
@@ -143,7 +143,7 @@
 
 
 class CompletionHandler(_EngineHandler):
-    """``POST /v1/completions`` and ``/v1/chat/completions``, whole or as SSE."""
+    """``POST /v1/completions`` and ``/v1/chat/completions``, unstreamed or as SSE."""
 
     def initialize(self, state, chat):
         self.state = state
@@ -210,7 +210,7 @@
         return True
 
     def _abort(self):
-        """Close the connection without completing the answer."""
+        """Close the connection without completing the response."""
         self.request.connection.stream.close()
 
     async def _prefill(self):
@@ -351,7 +351,7 @@
 class FaultsHandler(_EngineHandler):
     """``POST /v1/faults`` ``{"crossed_answers": N}``.
 
-    The next N answers carry the id of another request.
+    The next N responses carry the id of another request.
     """
 
     def post(self):
--- a/src/mulberrydock/standin/faultproxy.py
+++ b/src/mulberrydock/standin/faultproxy.py
@@ -95,7 +95,7 @@
 
         ``kill`` and ``silent`` affect the connections that are open now; afterwards the
         mode is ``pass``. In a partition nothing listens on the port, so a new
-        connection is refused and its caller knows that nothing was sent.
+        connection is refused and its client knows that nothing was sent.
 
         :param mode: one of :data:`MODES`.
         :param delay_seconds: delay of every chunk in mode ``delay``.
--- a/src/mulberrydock/standin/platform_engine.py
+++ b/src/mulberrydock/standin/platform_engine.py
@@ -1,6 +1,6 @@
 """Stand-in for the platform's engines and plain services, with scripted faults.
 
-It answers whole calls and streams, prefill calls, reports and orders, and injects the
+It answers unstreamed calls, streams, prefill calls, reports and orders, and injects the
 faults that a test lists. It doesn't simulate an engine's speed.
 """
 
@@ -24,15 +24,15 @@
     - ``REFUSE``: answers 503 and states that the request was not executed.
     - ``ERROR``: answers 500.
     - ``HANG``: never answers.
-    - ``CUT``, ``CUT_MID_EVENT``: closes the connection in the middle of the answer, or
-      of a stream's event.
-    - ``CRASH_BEFORE_ANSWER``: closes the connection before it answers.
-    - ``UNFRAMED``: sends an answer without Content-Length and closes the connection.
-    - ``EXTRA``: sends a second answer after the first.
-    - ``LATE_OTHER``: sends the answer to another request first.
-    - ``UNSIGNED``: sends an answer without the response signature.
+    - ``CUT``, ``CUT_MID_EVENT``: closes the connection in the middle of the response,
+      or of a stream's event.
+    - ``CRASH_BEFORE_ANSWER``: closes the connection before it responds.
+    - ``UNFRAMED``: sends a response without Content-Length and closes the connection.
+    - ``EXTRA``: sends a second response after the first.
+    - ``LATE_OTHER``: sends the response to another request first.
+    - ``UNSIGNED``: sends a response without the response signature.
     - ``STALL``, ``PAUSE``: a stream stops for good, or for :data:`PAUSE_SECONDS`; a
-      whole answer is late by as much.
+      unstreamed response is late by as much.
     """
 
     NONE = "none"
@@ -79,7 +79,7 @@
 
     :param address: ``host:port`` that its record names; a proxy's may be set later.
     :param stage: "prefill" or "decode", empty for a plain service.
-    :param events: number of events in a whole stream; their ids start at 1.
+    :param events: number of events in a complete stream; their ids start at 1.
     :param event_interval_seconds: seconds between two events.
     :param prefill_gate: prefill calls are answered only once this event is set.
     :param prefill_refusals: for each element one prefill call is refused; several
@@ -90,7 +90,7 @@
     :param crash_marker: a request whose body contains these bytes crashes the process.
     :param on_crash: called with this object when the process crashes.
     :param on_restart: called with this object after the process has restarted.
-    :param rate_limit: rate limit that its answers declare, in requests per second.
+    :param rate_limit: rate limit that its responses declare, in requests per second.
 
     For assertions, ``runs`` lists the requests that it started to execute,
     ``arrived_ids`` the ids of all that arrived, ``arrival_times`` their times in
@@ -148,7 +148,7 @@
     def listen(self):
         """Start to serve on the running event loop.
 
-        The address of the first call is kept for later ones: by then ``address`` may be
+        Later calls listen on the address of the first one: by then ``address`` may be
         that of a proxy.
         """
         self.listen_address = self.listen_address or self.address
@@ -188,7 +188,7 @@
     async def answer(self, reader):
         """Answer one request.
 
-        :param reader: the :class:`_Reader` that received it and sends the answer.
+        :param reader: the :class:`_Reader` that received it and sends the response.
         """
         path = reader.start_line.path
         if reader.headers.get(wire.EXPECT_INSTANCE, self.id) != self.id:
@@ -273,7 +273,7 @@
             {} if self.rate_limit is None else {wire.SERVER_LIMIT: str(self.rate_limit)}
         )
 
-    def _answer_headers(self, run):
+    def _response_headers(self, run):
         return {
             wire.ATTEMPT_ID: run.id,
             wire.SIGNATURE: f"signature-of-{self.id}",
@@ -285,7 +285,7 @@
         if fault is Fault.CRASH_BEFORE_ANSWER:
             reader.close()
         elif fault is Fault.ERROR:
-            reader.respond(500, self._answer_headers(run), b"failed")
+            reader.respond(500, self._response_headers(run), b"failed")
         elif fault is Fault.UNSIGNED:
             reader.respond(200, {wire.ATTEMPT_ID: run.id}, b"not the engine's")
         elif self.stage:
@@ -299,22 +299,24 @@
     def _whole(self, reader, run, fault):
         body = f"{self.id} answers {run.id}".encode()
         if fault is Fault.LATE_OTHER:
-            reader.raw(_raw_answer({wire.ATTEMPT_ID: "other"}, b"someone else's"))
+            reader.raw(_raw_response({wire.ATTEMPT_ID: "other"}, b"someone else's"))
         if fault is Fault.UNFRAMED:
-            reader.raw(_raw_head(self._answer_headers(run)) + body)
+            reader.raw(_raw_head(self._response_headers(run)) + body)
             reader.close()
             return
         if fault is Fault.CUT:
-            reader.raw(_raw_answer(self._answer_headers(run), body)[:-4])
+            reader.raw(_raw_response(self._response_headers(run), body)[:-4])
             reader.close()
             return
-        reader.respond(200, self._answer_headers(run), body)
+        reader.respond(200, self._response_headers(run), body)
         if fault is Fault.EXTRA:
-            reader.raw(_raw_answer(self._answer_headers(run), b"a second answer"))
+            reader.raw(_raw_response(self._response_headers(run), b"a second answer"))
 
     async def _stream(self, reader, run, fault):
         first = run.last_event_id + 1
-        reader.begin(self._answer_headers(run) | {"Content-Type": "text/event-stream"})
+        reader.begin(
+            self._response_headers(run) | {"Content-Type": "text/event-stream"}
+        )
         for number in range(first, self.events + 1):
             if number - first == 2 and fault is Fault.CUT:
                 reader.close()
@@ -337,12 +339,12 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def _raw_answer(headers, body):
+def _raw_response(headers, body):
     return _raw_head(headers | {"Content-Length": len(body)}) + body
 
 
 class _Reader(tornado.httputil.HTTPMessageDelegate):
-    """Receives one request and sends the answer that the engine gives."""
+    """Receives one request and sends the engine's response."""
 
     def __init__(self, engine, connection):
         self.engine = engine
@@ -371,24 +373,24 @@
         return tornado.httputil.ResponseStartLine("HTTP/1.1", status, "OK")
 
     def respond(self, status, headers, body):
-        """Send a whole answer."""
+        """Send a complete response."""
         fields = tornado.httputil.HTTPHeaders(headers)
         fields["Content-Length"] = str(len(body))
         self.connection.write_headers(self._start(status), fields, body or None)
         self.connection.finish()
 
     def begin(self, headers):
-        """Start a streamed answer."""
+        """Start a streamed response."""
         self.connection.write_headers(
             self._start(200), tornado.httputil.HTTPHeaders(headers)
         )
 
     def write(self, chunk):
-        """Send a part of a streamed answer."""
+        """Send a part of a streamed response."""
         self.connection.write(chunk)
 
     def finish_stream(self):
-        """End a streamed answer."""
+        """End a streamed response."""
         self.connection.finish()
 
     def raw(self, data):
@@ -396,7 +398,7 @@
         self.connection.stream.write(data)
 
     def close(self):
-        """Close the connection, even in the middle of an answer."""
+        """Close the connection, even in the middle of a response."""
         self.connection.stream.close()
 
 
--- a/src/mulberrydock/standin/platform_store.py
+++ b/src/mulberrydock/standin/platform_store.py
@@ -35,7 +35,7 @@
 
     - ``refusing``: every call is answered 503.
     - ``silent``: no call is answered.
-    - ``lose_write_answers``: number of writes that still take effect without an answer.
+    - ``lose_write_answers``: number of writes still to take effect without a response.
     - ``era``: how many times the store was restored from an older copy of its data.
     - ``compacted_revision``: watches from before this revision are answered 410.
     """
@@ -122,7 +122,7 @@
         return json.loads(self.request.body)
 
     def answer(self, document, status=200):
-        """Send ``document``, or drop it while answers to writes are to be lost."""
+        """Send ``document``, or drop it while responses to writes are to be lost."""
         if self.writes and self.state.lose_write_answers > 0:
             self.state.lose_write_answers -= 1
             self.request.connection.stream.close()
--- a/src/mulberrydock/standin/store.py
+++ b/src/mulberrydock/standin/store.py
@@ -2,7 +2,7 @@
 
 It implements versioned keys, compare-and-swap, leases with a time to live and prefix
 watches. On request it injects failures: outages, delays, and writes that take effect
-while their answer is lost. ``docs/protocols.md`` describes the protocol.
+while their response is lost. ``docs/protocols.md`` describes the protocol.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 from .._http import JsonHandler
 from ..exceptions import StoreError, VersionConflict
 
-#: Events kept for watches; a watch from before them gets 410 and its client must read
-#: the prefix again.
+#: Events stored for watches; a watch from before them gets 410 and its client must
+#: read the prefix again.
 MAX_HISTORY_EVENTS = 10000
-#: Estimated HTTP overhead that is counted for each request and each answer.
+#: Estimated HTTP overhead that is counted for each request and each response.
 FRAMING_BYTES = 150
 #: Interval at which expired leases are removed.
 EXPIRY_SWEEP_SECONDS = 0.05
@@ -45,7 +45,7 @@
 class Lease:
     """A lease; the keys attached to it are deleted when it expires.
 
-    ``ttl`` is in seconds, ``expires_at`` on the clock that callers use.
+    ``ttl`` is in seconds, ``expires_at`` on the clock of the ``now`` arguments.
     """
 
     ttl: float
@@ -58,7 +58,7 @@
     """Failures to inject.
 
     ``outage`` answers every call 503; ``delay_seconds`` delays every call;
-    ``lose_answers`` is the number of writes whose answers are still to be dropped.
+    ``lose_answers`` is the number of writes whose responses are still to be dropped.
     """
 
     outage: bool = False
@@ -181,7 +181,7 @@
     :param clock: returns the current time in seconds.
     """
 
-    #: Counts restores from an older copy, which this store doesn't have.
+    #: The store era: always 0, as this store is never restored from an older copy.
     era = 0
 
     def __init__(self, state, clock=time.monotonic):
@@ -211,7 +211,7 @@
         done, version = self.state.put(key, value, expect_version, lease, self.clock())
         if self.lost_writes:
             self.lost_writes -= 1
-            return Error(StoreError(f"injected fault: answer to put {key} lost"))
+            return Error(StoreError(f"injected fault: response to put {key} lost"))
         return Ok(version) if done else Error(VersionConflict(key, version))
 
     async def get(self, key):
@@ -260,16 +260,16 @@
             self.send_json({"error": "outage"}, status=503)
 
     def answer_write(self, document, status=200):
-        """Send the answer to a write, or drop it while answers are to be lost."""
+        """Send the response to a write, or drop it while responses are to be lost."""
         if self.state.faults.lose_answers > 0:
-            # The write has taken effect, but the caller only sees a closed connection.
+            # The write has taken effect, but the client only sees a closed connection.
             self.state.faults.lose_answers -= 1
             self.request.connection.stream.close()
             return
         self.send_json(document, status=status)
 
     def send_json(self, document, status=200, code=None):
-        """Send as :class:`JsonHandler` does, and count the bytes of the answer."""
+        """Send as :class:`JsonHandler` does, and count the bytes of the response."""
         text = json.dumps(document)
         self.state.calls["bytes"] += FRAMING_BYTES + len(text)
         self.set_status(status)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -71,8 +71,8 @@
 #: still reach instances once the contact time has passed.
 CRASH_LIMIT = 3
 MAX_SENDS_AFTER_CRASHES = 3
-#: The contact time: all VMs know of the crashes, as in the daemons' settings, and
-#: crashed instances are back.
+#: The contact time, as in the daemons' settings: after it all VMs know of the crashes,
+#: and crashed instances have restarted.
 CONTACT_SECONDS = 2.2
 
 
@@ -236,8 +236,9 @@
         self.fault_timers.append(timer)
 
     def run(self, seconds):
-        """Inject faults for ``seconds``, wait until they are over, and check the
-        guarantees.
+        """Inject faults for ``seconds``, then check the guarantees.
+
+        Waits until the faults are over and requests are served again.
 
         :returns: the violated guarantees, one line each.
         """
@@ -299,11 +300,11 @@
 
     def _run_crasher(self):
         """Send the crashing request repeatedly, to any daemon."""
-        draw, count = random.Random(f"{self.seed}/crasher"), 0
-        while not self.finished.wait(draw.uniform(*CRASH_INTERVAL_SECONDS)):
+        rng, count = random.Random(f"{self.seed}/crasher"), 0
+        while not self.finished.wait(rng.uniform(*CRASH_INTERVAL_SECONDS)):
             count += 1
             self._send_crashing(
-                f"entry-{draw.randrange(self.daemons)}", f"crash-{count}"
+                f"entry-{rng.randrange(self.daemons)}", f"crash-{count}"
             )
 
     def _send_crashing(self, name, request_id):
@@ -340,19 +341,19 @@
 
     def _run_client(self, number):
         """Send requests one after the other, reusing the connection while open."""
-        draw = random.Random(f"{self.seed}/{number}")
+        rng = random.Random(f"{self.seed}/{number}")
         connection, count = None, 0
         while not self.finished.is_set():
             count += 1
             request_id = f"c{number}-{count}"
             body = f"prompt {request_id}".encode()
-            outcome = Outcome(request_id, draw.choice(list(REPEATABLE)), body)
+            outcome = Outcome(request_id, rng.choice(list(REPEATABLE)), body)
             try:
                 if connection is None:
-                    name = f"entry-{draw.randrange(self.daemons)}"
+                    name = f"entry-{rng.randrange(self.daemons)}"
                     connection = self.fleet.connect(name)
                     connection.timeout = CLIENT_TIMEOUT_SECONDS
-                tokens = draw.choice(("100,10", "2000,10", "9000,10"))
+                tokens = rng.choice(("100,10", "2000,10", "9000,10"))
                 closing = self._exchange(connection, outcome, tokens)
             except Exception as error:  # http.client raises undocumented exceptions
                 # No valid response: what the daemon did is checked by the instances'
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -42,8 +42,8 @@
         item = fleet.get(fleet.settings.store.address, "/v1/kv/control/leader")
     except urllib.error.HTTPError:
         return None, 0
-    holder = records.decode(records.LeaderRecord, item["value"]).holder
-    return holder, item["version"]
+    leader = records.decode(records.LeaderRecord, item["value"]).holder
+    return leader, item["version"]
 
 
 def _send_renewal(fleet, key):
@@ -102,10 +102,10 @@
     assert (len(events), events[-1]) == (301, b"data: [DONE]")
 
 
-# Guards against failed requests around an engine restart. engine-1 crashes, is away for
-# longer than its last load report is valid, and starts with no model, which the
-# controller then loads. Neither its silence nor its refusals may fail a request:
-# engine-2 answers.
+# Guards against failed requests around an engine restart. engine-1 crashes, is
+# unavailable for longer than its last load report is valid, and starts with no model,
+# which the controller then loads. Neither its silence nor its refusals may fail a
+# request: engine-2 serves it.
 def test_engine_that_crashes_and_returns_empty_fails_no_request(local_fleet):
     local_fleet.signal("engine-1", signal.SIGKILL)
     local_fleet.fleet.processes["engine-1"].wait()
@@ -141,11 +141,11 @@
     assert json.loads(events[-1][len(b"data: ") :])["error"]["code"] == 401
 
 
-# Guards against passing on another request's response. An engine crosses two responses:
-# no byte of the wrong one may reach the client, which gets its own from the other
-# engine.
+# Guards against passing on another request's response. An engine responds with the id
+# and the content of another request: no byte of that may reach the client, which gets
+# its own response from the other engine.
 @pytest.mark.parametrize("stream", [False, True])
-def test_crossed_response_never_reaches_a_client(local_fleet, stream):
+def test_response_to_another_request_never_reaches_a_client(local_fleet, stream):
     port = local_fleet.engine_ports[0]
     local_fleet.post(f"127.0.0.1:{port}", "/v1/faults", {"crossed_answers": 100})
     body = {"model": "pass-letters-7b", "prompt": "x", "max_tokens": 3}
@@ -472,10 +472,10 @@
 # neither on those that check the token nor on those that ignore it.
 def test_paused_controller_changes_nothing_after_losing_its_lease(two_controllers):
     fleet = two_controllers
-    holder, old_token = _leader(fleet)
-    fleet.signal(holder, signal.SIGSTOP)
-    new_holder, new_token = _wait_until(
-        lambda: (lambda h: h if h[0] not in (holder, None) else None)(_leader(fleet))
+    leader, old_token = _leader(fleet)
+    fleet.signal(leader, signal.SIGSTOP)
+    new_leader, new_token = _wait_until(
+        lambda: (lambda h: h if h[0] not in (leader, None) else None)(_leader(fleet))
     )
     assert new_token > old_token
     # Let the frozen controller's pending watch time out empty, so that it has not
@@ -497,7 +497,7 @@
     for index in range(len(fleet.settings.engines)):
         _wait_until(lambda: fleet.engine_state(index)["version"] == "2")
     fleet.store_faults(outage=True)
-    fleet.signal(holder, signal.SIGCONT)
+    fleet.signal(leader, signal.SIGCONT)
     time.sleep(2 * fleet.settings.control.lease_ttl_seconds)
     fleet.store_faults(outage=False)
     for index in range(len(fleet.settings.engines)):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_half_load_is_served_in_time(seed):
-    """Guards against late or refused requests at about half of a pool's capacity (six
-    and three engines). Once the documents are cached, nearly all requests must be
-    served, short questions in time.
+    """Guards against late or refused requests at about half of the capacity of a
+    pool of six prefill and three decode engines. Once the documents are
+    cached, nearly all requests must be served, short questions in time.
     """
     jobs = EnginePool(6, 3).run(arrivals(random.Random(seed), 25), LOAD_SECONDS + 5)
     assert served(jobs) > 0.97
--- a/tests/test_platform_daemon.py
+++ b/tests/test_platform_daemon.py
@@ -71,8 +71,8 @@
 
 def test_system_headers_from_client_are_dropped(fleet):
     """A client sends headers that only the system may set: another instance, a KV
-    source, a backup. If they reached the engine, it would fetch foreign memory or
-    refuse the request.
+    source, a backup. If they reached the engine, it would fetch another
+    request's KV cache or refuse the request.
     """
     forged = {
         wire.EXPECT_INSTANCE: "someone-else",
@@ -535,8 +535,8 @@
 
 
 def test_pool_without_prefill_engine_gets_one(fleet):
-    """Every prefill engine has left. The holder of the lease orders one decode engine
-    to prefill, once, with the order count on which it decided.
+    """Every prefill engine has left. The leader orders one decode engine to
+    prefill, once, with the order count on which it decided.
     """
     orders = wait_until(
         lambda: fleet.engines["d1"].orders + fleet.engines["d2"].orders, seconds=20
@@ -571,7 +571,7 @@
         fleet.stop()
 
 
-def test_stream_that_would_outwait_its_client_is_refused_at_once(fleet):
+def test_stream_beyond_the_client_idle_timeout_is_refused_at_once(fleet):
     """The only prefill engine is busy with a prompt of two million tokens. The next
     stream would get its first event long after its client has given up, and would delay
     others while queued. It is refused at once, with a Retry-After that the client
