--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -174,16 +174,9 @@
         document = json.loads(data)
         completion = self.completion
         if document.get("id") != completion.request_id:
-            raise UpstreamError(
-                f"response is for another request: {document.get('id')!r}",
-                ResultCode.STREAM_CUT,
-            )
+            raise UpstreamError("crossed answer", ResultCode.STREAM_CUT)
         if document.get("sequence", completion.event_count) != completion.event_count:
-            raise UpstreamError(
-                f"event {document.get('sequence')} received, expected "
-                f"{completion.event_count}",
-                ResultCode.STREAM_CUT,
-            )
+            raise UpstreamError("event out of place", ResultCode.STREAM_CUT)
         completion.accept_event(document, event)
 
     def check_complete(self):
@@ -193,18 +186,11 @@
         """
         if self.streamed:
             if not self.done:
-                raise UpstreamError(
-                    f"stream ended without [DONE] after event "
-                    f"{self.completion.event_count}",
-                    ResultCode.STREAM_CUT,
-                )
+                raise UpstreamError("stream ended early", ResultCode.STREAM_CUT)
             return
         document = json.loads(self.buffer)
         if document.get("id") != self.completion.request_id:
-            raise UpstreamError(
-                f"response is for another request: {document.get('id')!r}",
-                ResultCode.STREAM_CUT,
-            )
+            raise UpstreamError("crossed answer", ResultCode.STREAM_CUT)
         self.completion.accept_event(document, self.buffer)
 
 
--- a/src/mulberrydock/store.py
+++ b/src/mulberrydock/store.py
@@ -76,9 +76,7 @@
             # of writes must read again before they retry.
             return Error(StoreError(f"store call {path} failed: {error}"))
         if status == 503:
-            return Error(
-                StoreError(f"store call {path} failed: the store answered 503")
-            )
+            return Error(StoreError(f"store call {path}: outage"))
         return Ok((status, document))
 
     async def get(self, key):
--- a/src/mulberrydock/upstream.py
+++ b/src/mulberrydock/upstream.py
@@ -105,9 +105,7 @@
             tornado.tcpclient.TCPClient().connect(host, port), connect_timeout
         )
     except (OSError, asyncio.TimeoutError, tornado.iostream.StreamClosedError) as e:
-        raise UpstreamError(
-            f"can't connect to {address}: {e}", ResultCode.NOT_RUN
-        ) from e
+        raise UpstreamError(f"connect to {address}: {e}", ResultCode.NOT_RUN) from e
     result = UpstreamResponse()
     last_activity = [time.monotonic()]
     first_byte_timeout = (
@@ -148,15 +146,11 @@
             if now - last_activity[0] > timeout or now - started > total_timeout:
                 # The connection is silent for good: the peer or a middlebox has lost
                 # its state, and only closing this end stops the wait.
-                raise UpstreamError(
-                    f"{address} sent nothing for {timeout:.1f} s, or not the whole "
-                    f"response within {total_timeout:.1f} s",
-                    ResultCode.STREAM_CUT,
-                )
+                raise UpstreamError(f"{address} went silent", ResultCode.STREAM_CUT)
         if delegate.error is None:
             read_task.result()
     except (tornado.iostream.StreamClosedError, OSError) as e:
-        raise ConnectionCut(f"{address} closed the connection: {e}") from e
+        raise ConnectionCut(f"{address} cut: {e}") from e
     finally:
         stream.close()
         if read_task is not None:
@@ -166,8 +160,5 @@
             raise delegate.error
         raise UpstreamError(f"{address}: {delegate.error}", ResultCode.STREAM_CUT)
     if not result.finished:
-        raise ConnectionCut(
-            f"{address} closed the connection before the response was complete",
-            ResultCode.STREAM_CUT,
-        )
+        raise ConnectionCut(f"{address} cut the answer", ResultCode.STREAM_CUT)
     return result
