--- a/src/mulberrydock/experiment.py
+++ b/src/mulberrydock/experiment.py
@@ -36,7 +36,7 @@
 
 
 #: An engine is killed in the middle of streams, another is drained, the store is
-#: unavailable for 5 s, and an entry VM leaves; for four phases of 12 s each.
+#: unavailable for 5 s, and an entry VM is terminated; for four phases of 12 s each.
 FAULTS = (
     Fault(8.0, "kill", "engine-2"),
     Fault(13.0, "start", "engine-2"),
