--- a/src/mulberrydock/planner.py
+++ b/src/mulberrydock/planner.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define(frozen=True)
-class Demand:
+class RoleDemand:
     """Offered work of prefill and of generation, in numbers of busy engines."""
 
     prefill: float = 0.0
@@ -45,7 +45,7 @@
         self.measured_at = None
 
     def observe(self, views, settings, now):
-        """Update the averages with every engine's counts; return the :class:`Demand`.
+        """Update the averages with every engine's counts; return a :class:`RoleDemand`.
 
         :param views: :class:`~mulberrydock.rollout.EngineView` list.
         :param settings: engine settings by name, for the engines' rates.
@@ -63,7 +63,7 @@
             self.prefill += weight * (prefill / elapsed - self.prefill)
             self.decode += weight * (decode / elapsed - self.decode)
         self.measured_at = now
-        return Demand(self.prefill, self.decode)
+        return RoleDemand(self.prefill, self.decode)
 
     def _since_last(self, view):
         before = self.counts.get(view.name, (view.prefilled_tokens, view.output_tokens))
@@ -127,7 +127,7 @@
             self.roles.setdefault(view.name, view.role or "both")
         roles = {v.name: self.roles[v.name] for v in views}
         current = sum(role == "prefill" for role in roles.values())
-        peak = Demand(demand.prefill, self._peak(demand.decode, now))
+        peak = RoleDemand(demand.prefill, self._peak(demand.decode, now))
         wanted = self.prefill_engines(peak, len(views), current)
         if wanted == current:
             self.better = None
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -4,9 +4,9 @@
 import pytest
 
 from mulberrydock.planner import (
-    Demand,
     DemandMeter,
     MixRoles,
+    RoleDemand,
     StaticRoles,
     delayed_share,
 )
@@ -76,14 +76,14 @@
 @pytest.mark.parametrize(
     "demand, prefilling, expected",
     [
-        (Demand(0.0, 1.0), 0, 0.0),
-        (Demand(0.25, 1.0), 0, 0.0),
+        (RoleDemand(0.0, 1.0), 0, 0.0),
+        (RoleDemand(0.25, 1.0), 0, 0.0),
         # 5 engines, 2.5 of them prefilling: half of the tokens wait for one.
-        (Demand(2.5, 0.5), 0, 0.45),
-        (Demand(2.5, 0.5), 4, 0.0),
+        (RoleDemand(2.5, 0.5), 0, 0.45),
+        (RoleDemand(2.5, 0.5), 4, 0.0),
         # More than the prefill engines, or the others, can carry.
-        (Demand(2.5, 0.5), 3, 0.1),
-        (Demand(0.5, 3.0), 2, 0.6),
+        (RoleDemand(2.5, 0.5), 3, 0.1),
+        (RoleDemand(0.5, 3.0), 2, 0.6),
     ],
 )
 def test_delayed_share(demand, prefilling, expected):
@@ -114,7 +114,7 @@
     # Guards against role changes for a short burst or without a gain, and against none
     # when the demand has shifted for good.
     planner = MixRoles(1.0, change_weight, settle_seconds=3.0, interval_seconds=10.0)
-    seen = [_prefilling(planner, Demand(p, 1.0), now) for now, p in steps]
+    seen = [_prefilling(planner, RoleDemand(p, 1.0), now) for now, p in steps]
     assert seen == expected
 
 
@@ -123,9 +123,11 @@
     # prompts, and the engines change back only when the interval is over.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     for now in (0.0, 4.0):
-        before = _prefilling(planner, Demand(1.5, 0.5), now)
+        before = _prefilling(planner, RoleDemand(1.5, 0.5), now)
     assert before == 2
-    seen = [_prefilling(planner, Demand(0.1, 3.8), t) for t in (5.0, 9.0, 13.0, 15.0)]
+    seen = [
+        _prefilling(planner, RoleDemand(0.1, 3.8), t) for t in (5.0, 9.0, 13.0, 15.0)
+    ]
     assert seen == [2, 2, 2, 0]
 
 
@@ -135,9 +137,9 @@
     # long prompts follow at once. With two prefill engines, too few would be left when
     # the long outputs return.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
-    _prefilling(planner, Demand(0.1, 3.8), 0.0)
+    _prefilling(planner, RoleDemand(0.1, 3.8), 0.0)
     for now in (later, later + 4.0):
-        seen = _prefilling(planner, Demand(1.5, 0.5), now)
+        seen = _prefilling(planner, RoleDemand(1.5, 0.5), now)
     assert seen == expected
 
 
@@ -146,26 +148,26 @@
     # Guards against a pool without a decode engine when prefill demand is high.
     planner = MixRoles(1.0, 0.0, settle_seconds=0.0, interval_seconds=0.0)
     for now in (0.0, 1.0, 2.0):
-        assert _prefilling(planner, Demand(prefill, 0.0), now) < 5
-    assert StaticRoles().plan([_view("a")], Demand(9.0, 0.0), 0.0) == {"a": "both"}
+        assert _prefilling(planner, RoleDemand(prefill, 0.0), now) < 5
+    assert StaticRoles().plan([_view("a")], RoleDemand(9.0, 0.0), 0.0) == {"a": "both"}
 
 
 def test_planner_goes_on_while_no_engine_is_reachable():
     # Guards against a planner that fails or loses its roles without any engine's state,
     # as after a controller's start or while it is disconnected from all engines.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
-    assert planner.plan([], Demand(), 0.0) == {}
+    assert planner.plan([], RoleDemand(), 0.0) == {}
     for now in (1.0, 5.0):
-        before = _prefilling(planner, Demand(1.5, 1.0), now)
-    assert planner.plan([], Demand(1.5, 1.0), 6.0) == {}
-    assert _prefilling(planner, Demand(1.5, 1.0), 7.0) == before == 2
+        before = _prefilling(planner, RoleDemand(1.5, 1.0), now)
+    assert planner.plan([], RoleDemand(1.5, 1.0), 6.0) == {}
+    assert _prefilling(planner, RoleDemand(1.5, 1.0), 7.0) == before == 2
 
 
 def test_a_new_controller_keeps_the_roles_that_engines_have():
     # Guards against role changes only because another controller became the leader.
     planner = MixRoles(1.0, 1.0, settle_seconds=3.0, interval_seconds=10.0)
     views = [_view("a", attrs.evolve(OLD, role="prefill")), _view("b"), _view("c")]
-    roles = planner.plan(views, Demand(0.6, 0.5), 0.0)
+    roles = planner.plan(views, RoleDemand(0.6, 0.5), 0.0)
     assert roles == {"a": "prefill", "b": "both", "c": "both"}
 
 
