--- a/src/mulberrydock/control.py
+++ b/src/mulberrydock/control.py
@@ -19,7 +19,7 @@
 from ._http import fetch_json
 from .configuration import ConfigFollower, seed_config
 from .lease import LeaderLease
-from .planner import DemandMeter, MixRoles, StaticRoles
+from .planner import MixRoles, RoleDemandMeter, StaticRoles
 from .rollout import EngineView, Rollout, Target
 from .store import StoreClient
 
@@ -51,7 +51,7 @@
         self.lease = LeaderLease(store, name, settings.control.lease_ttl_seconds)
         self.config = ConfigFollower(store, settings)
         self.planner = make_planner(settings.roles)
-        self.meter = DemandMeter()
+        self.meter = RoleDemandMeter()
         self.rollout = Rollout()
         self.plan_version = 0
         self.plan_token = 0
--- a/src/mulberrydock/planner.py
+++ b/src/mulberrydock/planner.py
@@ -35,7 +35,7 @@
     decode: float = 0.0
 
 
-class DemandMeter:
+class RoleDemandMeter:
     """Averages the pool's demand from the engines' cumulative token counts."""
 
     def __init__(self):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -4,9 +4,9 @@
 import pytest
 
 from mulberrydock.planner import (
-    DemandMeter,
     MixRoles,
     RoleDemand,
+    RoleDemandMeter,
     StaticRoles,
     delayed_share,
 )
@@ -173,7 +173,7 @@
 
 def test_demand_is_measured_from_counts_and_survives_a_restart():
     # Guards against a wrong demand when an engine restarts and counts from 0 again.
-    meter = DemandMeter()
+    meter = RoleDemandMeter()
     rate = ENGINES["engine-1"].prefill_tokens_per_second
     for second, tokens in enumerate([0, rate, 2 * rate, 5, rate + 5]):
         view = _view("engine-1", prefilled_tokens=int(tokens))
