--- a/src/mulberrydock/completion.py
+++ b/src/mulberrydock/completion.py
@@ -298,7 +298,7 @@
         try:
             code = await self._attempts()
         finally:
-            self.daemon.crashes.record_request_end(
+            self.daemon.crash_guard.record_request_end(
                 self.fingerprint, code is ResultCode.OK
             )
         return code
@@ -309,7 +309,7 @@
         quarantined = False
         for attempt in range(MAX_ATTEMPTS):
             now = time.monotonic()
-            quarantined = self.daemon.crashes.is_quarantined(self.fingerprint)
+            quarantined = self.daemon.crash_guard.is_quarantined(self.fingerprint)
             if quarantined:
                 cause = "engines crashed under it"
                 break
@@ -330,7 +330,7 @@
                 self.may_have_run |= error.code != ResultCode.NOT_RUN
                 cause = str(error)
                 call = f"{self.request_id}/{attempt}"
-                await self.daemon.crashes.record_failure(
+                await self.daemon.crash_guard.record_failure(
                     self.fingerprint, engine, call, error
                 )
                 logger.info(
--- a/src/mulberrydock/entry.py
+++ b/src/mulberrydock/entry.py
@@ -57,13 +57,15 @@
         self.record_leases = RecordLeases(
             store, settings.deployment.idempotency_retention_seconds
         )
-        self.crashes = CrashGuard.from_store(store, entry.name, self._is_first_entry)
+        self.crash_guard = CrashGuard.from_store(
+            store, entry.name, self._is_first_entry
+        )
         self.crash_watch = PrefixWatch(
             store,
             defaults.CRASH_PREFIX,
-            self.crashes.sync.apply,
-            self.crashes.quarantine.begin_reload,
-            self.crashes.quarantine.finish_reload,
+            self.crash_guard.sync.apply,
+            self.crash_guard.quarantine.begin_reload,
+            self.crash_guard.quarantine.finish_reload,
         )
         self.background_tasks = set()
         self.vm_list = VmList(settings.vm_list.address, self._on_vm_list)
@@ -198,7 +200,7 @@
             asyncio.ensure_future(self.peer_config.run()),
             asyncio.ensure_future(self.plan.run()),
             asyncio.ensure_future(self.crash_watch.run()),
-            asyncio.ensure_future(self.crashes.sync.run()),
+            asyncio.ensure_future(self.crash_guard.sync.run()),
             asyncio.ensure_future(self.vm_list.run()),
             asyncio.ensure_future(self.loads.poll_loads()),
             asyncio.ensure_future(self.loads.poll_events()),
--- a/src/mulberrydock/idempotency.py
+++ b/src/mulberrydock/idempotency.py
@@ -146,15 +146,15 @@
 
     async def run(self, now):
         """Make the call and return the :class:`Outcome` for the client."""
-        crashes = self.daemon.crashes
-        if crashes.is_quarantined(self.fingerprint):
+        crash_guard = self.daemon.crash_guard
+        if crash_guard.is_quarantined(self.fingerprint):
             return _quarantined()
         outcome = None
         try:
             outcome = await self._run(now)
         finally:
             served = outcome is not None and outcome.status < 400
-            crashes.record_request_end(self.fingerprint, served)
+            crash_guard.record_request_end(self.fingerprint, served)
         return outcome
 
     async def _run(self, now):
@@ -318,7 +318,7 @@
                 router.record_failure(service, time.monotonic())
                 may_have_run |= error.code != ResultCode.NOT_RUN
                 await self._record_failure(service, error)
-                if self.daemon.crashes.is_quarantined(self.fingerprint):
+                if self.daemon.crash_guard.is_quarantined(self.fingerprint):
                     break
                 continue
             return Outcome(status, ResultCode.OK, body)
@@ -330,7 +330,9 @@
     async def _record_failure(self, service, error):
         """Record a failed call if its instance crashed under it."""
         call = f"{self.attempt}/{uuid.uuid4().hex}"
-        await self.daemon.crashes.record_failure(self.fingerprint, service, call, error)
+        await self.daemon.crash_guard.record_failure(
+            self.fingerprint, service, call, error
+        )
 
     async def _send(self, service):
         chunks = []
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -68,7 +68,7 @@
     engines: Router
     services: dict
     settings: object
-    crashes: CrashGuard
+    crash_guard: CrashGuard
     retry_budget: RetryBudget = attrs.field(factory=RetryBudget)
     metrics: EntryMetrics = attrs.field(factory=EntryMetrics)
 
@@ -143,7 +143,9 @@
         daemon = daemon_of([engine])
         work = fingerprint("completions", "tenant", CRASHING_BODY)
         for number in range(CRASH_LIMIT):
-            daemon.crashes.quarantine.apply(Crash.of(work, f"x{number}").key, 1000.0)
+            daemon.crash_guard.quarantine.apply(
+                Crash.of(work, f"x{number}").key, 1000.0
+            )
         code = await completion(daemon, CRASHING_BODY)
         engine.server.close()
         return code, engine.calls
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -20,7 +20,7 @@
         self.store = DirectStore(state)
         self.entry = types.SimpleNamespace(name="entry-1")
         self.record_leases = RecordLeases(self.store, 60.0)
-        self.crashes = CrashGuard.from_store(self.store, "entry-1", bool)
+        self.crash_guard = CrashGuard.from_store(self.store, "entry-1", bool)
         self.background_tasks = []
 
     def run_in_background(self, coroutine):
