--- a/src/mulberrydock/placement.py
+++ b/src/mulberrydock/placement.py
@@ -98,8 +98,8 @@
 
     ``tokens`` is the prefill work, in tokens without context; ``cached`` tokens of the
     prompt need no prefill. ``wait`` is the estimate of seconds to the first token,
-    ``prefill_seconds`` the part of it that prefilling the prompt takes, ``queued`` the
-    work that is prefilled before it, in the unit of ``tokens``. ``urgency`` is the
+    ``prefill_seconds`` the part of it that prefilling the prompt takes, ``queued_work``
+    the work that is prefilled before it, in the unit of ``tokens``. ``urgency`` is the
     priority at the engine that prefills. ``decode_slots_full`` is True when the slots
     of all decode engines are in use.
     """
@@ -110,7 +110,7 @@
     wait: float = 0.0
     prefill_seconds: float = 0.0
     cached: int = 0
-    queued: float = 0.0
+    queued_work: float = 0.0
     urgency: int = 0
     decode_slots_full: bool = False
 
@@ -129,7 +129,7 @@
     work: int
     prefill_seconds: float
     cached: int
-    queued: float
+    queued_work: float
     urgency: int
 
 
@@ -382,7 +382,7 @@
         return attrs.evolve(
             plan,
             cached=option.cached,
-            queued=option.queued,
+            queued_work=option.queued_work,
             urgency=option.urgency,
         )
 
--- a/src/mulberrydock/prefill.py
+++ b/src/mulberrydock/prefill.py
@@ -129,7 +129,7 @@
             instance=self.engine.id,
             error=str(error),
         )
-        if isinstance(error, ConnectionCut) and not self.plan.queued:
+        if isinstance(error, ConnectionCut) and not self.plan.queued_work:
             # A prompt still in the engine's queue can't have crashed it.
             await self.relay.probe_after_cut(self.request, self.engine)
 
@@ -142,7 +142,7 @@
             instance=self.engine.id,
             seconds=round(seconds, 3),
         )
-        if plan.queued:
+        if plan.queued_work:
             # The time of a queued prompt includes its wait in the queue, so it is no
             # sample of the prefill cost.
             return
