--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_evidence.py
@@ -100,6 +100,6 @@
 )
 def test_queued_prompt_is_not_blamed_for_a_crash(queued, error, crashes):
     relay = relay_with(True)
-    plan = Plan(engine(), engine(), queued=queued)
+    plan = Plan(engine(), engine(), queued_work=queued)
     asyncio.run(PrefillCall(relay, request(), "llm", plan)._record_failure(error))
     assert relay.fleet.quarantine.count(request().fingerprint) == crashes
