--- a/src/mulberrydock/platform/store.py
+++ b/src/mulberrydock/platform/store.py
@@ -32,7 +32,7 @@
 
     Attributes that an owner may set or read:
 
-    - ``on_answer``: called after each call, with True when the store answered it.
+    - ``on_response``: called after each call, with True when the store answered it.
     - ``on_era_change``: called when a response shows a higher era than the last known
       one, that is after the store was restored from an older copy.
     - ``era``: the highest era seen, None before the first response.
@@ -45,13 +45,13 @@
         self.address = address
         self.timeout = timeout
         self.pool = ConnectionPool(address, MAX_CONNECTIONS)
-        self.on_answer = lambda answered: None
+        self.on_response = lambda answered: None
         self.on_era_change = lambda: None
         self.era = None
 
     async def _call(self, method, path, body=None, timeout=None):
         result = await self._exchange(method, path, body, timeout)
-        self.on_answer(result.is_ok())
+        self.on_response(result.is_ok())
         return result
 
     async def _exchange(self, method, path, body, timeout):
--- a/src/mulberrydock/serve.py
+++ b/src/mulberrydock/serve.py
@@ -90,7 +90,7 @@
     def __init__(self, settings, store, wire, log_sink):
         self.settings = settings
         self.store = store
-        store.on_answer = self._on_store_answer
+        store.on_response = self._on_store_answer
         store.on_era_change = self._on_store_era
         self.log_sink = log_sink
         self.metrics = ServeMetrics()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -96,6 +96,6 @@
     (port,) = free_ports(1)
     store = PlatformStore(f"127.0.0.1:{port}", timeout=0.3)
     answers = []
-    store.on_answer = answers.append
+    store.on_response = answers.append
     assert asyncio.run(store.keepalive(7)).is_error()
     assert answers == [False]
