--- a/src/mulberrydock/cli.py
+++ b/src/mulberrydock/cli.py
@@ -75,8 +75,7 @@
 def serve(*, settings: str = ""):
     """Run the daemon of one entry VM on the hosting platform.
 
-    :param settings: settings file, by default the one that the environment variable
-        MULBERRYDOCK_SETTINGS names.
+    :param settings: settings file; the platform names it in the environment.
     """
     from . import platform
     from .serve import ServeDaemon
